--- a/lab/machine.ts
+++ b/lab/machine.ts
@@ -40,8 +40,8 @@
   private sleptMs = 0;
   private readonly clockSources: ClockSources = {
     ...SYSTEM_CLOCK_SOURCES,
-    timeOfDay: () => SYSTEM_CLOCK_SOURCES.timeOfDay() + this.sleptMs,
-    sinceBoot: () => SYSTEM_CLOCK_SOURCES.sinceBoot() + this.sleptMs,
+    wallClock: () => SYSTEM_CLOCK_SOURCES.wallClock() + this.sleptMs,
+    uptime: () => SYSTEM_CLOCK_SOURCES.uptime() + this.sleptMs,
   };
   readonly lines: Record<string, unknown>[] = [];
 
--- a/lab/relayFleet.ts
+++ b/lab/relayFleet.ts
@@ -2,7 +2,7 @@
  * Zones of nodes that follow a configuration over thin links, in one process: the product's relays
  * and followers, with their messages as bytes, over modelled links. For tests and experiments.
  */
-import { steadyClock as clock } from '../src/model/clock.js';
+import { monotonicClock as clock } from '../src/model/clock.js';
 import { type ZoneNode, zonePartOf } from '../src/relay/zoneReaders.js';
 import { createZoneRelay, type ZoneRelay } from '../src/relay/zoneRelay.js';
 import { ConfigurationFollower } from '../src/source/configuration-follower.js';
--- a/src/cli/runCli.ts
+++ b/src/cli/runCli.ts
@@ -1,6 +1,6 @@
 /** The command line of the operators: words to commands, nothing else. */
 import yargs, { type Argv } from 'yargs';
-import { steadyClock } from '../model/clock.js';
+import { monotonicClock } from '../model/clock.js';
 import { createEraGuard } from '../source/eraGuard.js';
 import { apply, waitInForce } from './applyCommand.js';
 import { type CommandContext, diff, get, status, validate } from './commands.js';
@@ -32,7 +32,7 @@
     command: (context: CommandContext) => Promise<ExitCode>,
   ) => {
     const connected = context.outside.connect(options.store);
-    const store = createEraGuard({ clock: steadyClock, store: connected });
+    const store = createEraGuard({ clock: monotonicClock, store: connected });
     connected.onEra = store.noteEra;
     const output = createOutput(options.json, context.write, context.writeError);
     code = await command({ outside: context.outside, store, output }).finally(() => store.close());
--- a/src/directory/crashRecords.ts
+++ b/src/directory/crashRecords.ts
@@ -75,7 +75,7 @@
       return;
     }
     turns.pass(name);
-    removed.note(name);
+    removed.add(name);
     stored.delete(name);
     if (object) {
       onRemoved(object.spec);
--- a/src/directory/rolloutOrders.ts
+++ b/src/directory/rolloutOrders.ts
@@ -92,7 +92,7 @@
     const earlier = held.get(service);
     const earlierId = earlier && decode(earlier)?.id;
     if (earlierId !== undefined && earlierId !== order.id) {
-      replaced.note(earlierId);
+      replaced.add(earlierId);
     }
     lost.delete(service);
     held.set(service, object);
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -1,8 +1,8 @@
 /** One client's request, from its head to the final answer. */
 import type http from 'node:http';
 import type { OwnerRecord } from '../directory/owner-entry.js';
-import type { Alarms } from '../model/alarms.js';
 import type { Clock } from '../model/clock.js';
+import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { Cancellation } from '../owner/cancellation.js';
 import type { MessageBody } from '../owner/message-body.js';
 import type { OwnerTask } from '../owner/owner.js';
@@ -35,7 +35,7 @@
 /** What the ingress needs of its node. */
 export interface IngressOptions extends DispatchContext, ClientAccessContext {
   readonly clock: Clock;
-  readonly alarms: Alarms;
+  readonly alarms: SuspendAwareTimers;
   readonly routes: () => RouteMatcher | undefined;
   /** This node's own record. */
   readonly own: () => OwnerRecord;
--- a/src/ingress/returnTimes.ts
+++ b/src/ingress/returnTimes.ts
@@ -4,7 +4,10 @@
  * in memory: each is told a time at which one more request is likely to be served, at the pace at
  * which this ingress has seen its requests served.
  */
-import { createSlidingCount, type SlidingCount } from '../model/slidingCount.js';
+import {
+  createSlidingWindowCounter,
+  type SlidingWindowCounter,
+} from '../model/slidingWindowCounter.js';
 
 /** The pace is taken from so many milliseconds. */
 const PACE_WINDOW_MS = 1_000;
@@ -14,7 +17,7 @@
 const MAX_RETURN_MS = 1_000;
 
 interface Line {
-  readonly served: SlidingCount;
+  readonly served: SlidingWindowCounter;
   /** Steady time in milliseconds of the last return that was told. */
   lastReturnAt: number;
 }
@@ -35,7 +38,7 @@
       return known;
     }
     const created = {
-      served: createSlidingCount(PACE_WINDOW_MS),
+      served: createSlidingWindowCounter(PACE_WINDOW_MS),
       lastReturnAt: Number.NEGATIVE_INFINITY,
     };
     lines.set(service, created);
@@ -45,7 +48,7 @@
     noteServed: (service, now) => lineOf(service).served.add(now),
     next: (service, waitMs, now) => {
       const line = lineOf(service);
-      const served = line.served.atMost(now);
+      const served = line.served.upperBound(now);
       // Before anything has been served, the pace is not known.
       const gapMs = served > 0 ? PACE_WINDOW_MS / served : 0;
       const returnAt = Math.max(line.lastReturnAt + gapMs, now + Math.max(MIN_RETURN_MS, waitMs));
--- a/src/ingress/shared-retry-budget.ts
+++ b/src/ingress/shared-retry-budget.ts
@@ -6,7 +6,10 @@
  * allows may be spent at any moment of it, so that a short fault can use it whole.
  */
 
-import { createSlidingCount, type SlidingCount } from '../model/slidingCount.js';
+import {
+  createSlidingWindowCounter,
+  type SlidingWindowCounter,
+} from '../model/slidingWindowCounter.js';
 
 /** The bound that all nodes keep together. */
 export interface BudgetBound {
@@ -21,8 +24,8 @@
 const USED_SHARE = 0.5;
 
 interface ServiceCounts {
-  readonly requests: SlidingCount;
-  readonly repeats: SlidingCount;
+  readonly requests: SlidingWindowCounter;
+  readonly repeats: SlidingWindowCounter;
 }
 
 /** One per node. */
@@ -55,8 +58,8 @@
   left(service: string, now: number): number {
     const { ratio, slack } = this.bound();
     const { requests, repeats } = this.countsOf(service);
-    const earned = ratio * USED_SHARE * requests.atLeast(now);
-    return this.slackHere(slack) + earned - repeats.atMost(now);
+    const earned = ratio * USED_SHARE * requests.lowerBound(now);
+    return this.slackHere(slack) + earned - repeats.upperBound(now);
   }
 
   /**
@@ -81,8 +84,8 @@
     }
     const { windowMs } = this.bound();
     const created = {
-      requests: createSlidingCount(windowMs),
-      repeats: createSlidingCount(windowMs),
+      requests: createSlidingWindowCounter(windowMs),
+      repeats: createSlidingWindowCounter(windowMs),
     };
     this.counts.set(service, created);
     return created;
--- a/src/model/clock.ts
+++ b/src/model/clock.ts
@@ -6,4 +6,4 @@
 }
 
 /** The steady clock of this process. */
-export const steadyClock: Clock = { now: () => performance.now() };
+export const monotonicClock: Clock = { now: () => performance.now() };
--- a/src/model/nodeClocks.test.ts
+++ b/src/model/nodeClocks.test.ts
@@ -1,18 +1,18 @@
 import fc from 'fast-check';
 import { describe, expect, it, vi } from 'vitest';
-import { createAlarms } from './alarms.js';
 import { createNodeClocks } from './nodeClocks.js';
+import { createSuspendAwareTimers } from './suspendAwareTimers.js';
 
 /** Clocks of a machine that the test moves. */
 function machine() {
   const world = { steady: 1_000, timeOfDay: 1_700_000_000_000, sinceBoot: 50_000 };
   const clocks = createNodeClocks({
-    steady: () => world.steady,
-    timeOfDay: () => world.timeOfDay,
-    sinceBoot: () => world.sinceBoot,
+    monotonic: () => world.steady,
+    wallClock: () => world.timeOfDay,
+    uptime: () => world.sinceBoot,
   });
   const woken: number[] = [];
-  clocks.onWake((sleptMs) => woken.push(sleptMs));
+  clocks.onResume((sleptMs) => woken.push(sleptMs));
   /** Time passes while the machine is up; `bootSpeed` is that of the clock since its start. */
   const pass = (ms: number, bootSpeed = 1) => {
     for (let passed = 0; passed < ms; passed += 100) {
@@ -36,9 +36,9 @@
     const before = clocks.clock.now();
     suspend(3_000);
     expect(clocks.clock.now() - before).toBe(3_000);
-    expect(clocks.beliefClock.now()).toBe(clocks.clock.now());
+    expect(clocks.freshnessClock.now()).toBe(clocks.clock.now());
     suspend(2_000);
-    expect(clocks.beliefClock.now() - before).toBe(5_000);
+    expect(clocks.freshnessClock.now() - before).toBe(5_000);
     expect(woken).toEqual([3_000, 2_000]);
   });
 
@@ -49,7 +49,7 @@
     for (const jumpMs of [2_400, -2_400, 3_600_000, -3_600_000]) {
       world.timeOfDay += jumpMs;
       expect(clocks.clock.now()).toBe(before);
-      expect(clocks.beliefClock.now()).toBe(before);
+      expect(clocks.freshnessClock.now()).toBe(before);
     }
     expect(woken).toEqual([]);
   });
@@ -60,9 +60,9 @@
     const before = clocks.clock.now();
     world.timeOfDay += 3_000;
     expect(clocks.clock.now()).toBe(before);
-    expect(clocks.beliefClock.now()).toBe(before + 3_000);
+    expect(clocks.freshnessClock.now()).toBe(before + 3_000);
     world.timeOfDay -= 3_000;
-    expect(clocks.beliefClock.now()).toBe(before + 3_000);
+    expect(clocks.freshnessClock.now()).toBe(before + 3_000);
   });
 
   it('never go back, whatever the other clocks do', () => {
@@ -75,13 +75,13 @@
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
         const { world, clocks } = machine();
         let last = clocks.clock.now();
-        let lastBelief = clocks.beliefClock.now();
+        let lastBelief = clocks.freshnessClock.now();
         for (const { steady, timeOfDay, sinceBoot } of steps) {
           world.steady += steady;
           world.timeOfDay += timeOfDay;
           world.sinceBoot += sinceBoot;
           const now = clocks.clock.now();
-          const belief = clocks.beliefClock.now();
+          const belief = clocks.freshnessClock.now();
           expect(now - last).toBeGreaterThanOrEqual(steady);
           expect(belief - lastBelief).toBeGreaterThanOrEqual(steady);
           expect(belief).toBeGreaterThanOrEqual(now);
@@ -99,9 +99,9 @@
     vi.useFakeTimers();
     let wake: (sleptMs: number) => void = () => {};
     let sleptMs = 0;
-    const alarms = createAlarms({
+    const alarms = createSuspendAwareTimers({
       clock: { now: () => performance.now() + sleptMs },
-      onWake: (listener) => {
+      onResume: (listener) => {
         wake = listener;
       },
     });
--- a/src/model/nodeClocks.ts
+++ b/src/model/nodeClocks.ts
@@ -8,20 +8,20 @@
 /** Where time is read from, in milliseconds; each has a zero of its own. */
 export interface ClockSources {
   /** Never jumps, and stands still while the machine is suspended. */
-  readonly steady: () => number;
+  readonly monotonic: () => number;
   /** Counts a suspension, and jumps when it is set. */
-  readonly timeOfDay: () => number;
+  readonly wallClock: () => number;
   /** Counts a suspension and never jumps, unless the system tells another machine's. */
-  readonly sinceBoot: () => number;
+  readonly uptime: () => number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** Those of this process. */
 export const SYSTEM_CLOCK_SOURCES: ClockSources = {
-  steady: () => performance.now(),
-  timeOfDay: () => Date.now(),
-  sinceBoot: () => uptime() * MILLISECONDS_PER_SECOND,
+  monotonic: () => performance.now(),
+  wallClock: () => Date.now(),
+  uptime: () => uptime() * MILLISECONDS_PER_SECOND,
 };
 
 /** One set for each node. */
@@ -29,9 +29,9 @@
   /** For deadlines: what has passed for certain. */
   readonly clock: Clock;
   /** For what is only believed: what may have passed. Never behind {@link clock}. */
-  readonly beliefClock: Clock;
+  readonly freshnessClock: Clock;
   /** Calls the listener, with the milliseconds that were slept, when {@link clock} has jumped. */
-  onWake(listener: (sleptMs: number) => void): void;
+  onResume(listener: (sleptMs: number) => void): void;
 }
 
 /**
@@ -59,10 +59,10 @@
   takeJumpMs(at: number): number;
 }
 
-function createBootClock({ steady, sinceBoot }: ClockSources): BootClock {
-  let lookedAt = steady();
+function createBootClock({ monotonic, uptime }: ClockSources): BootClock {
+  let lookedAt = monotonic();
   let inStepSince = lookedAt;
-  let offset = sinceBoot() - lookedAt;
+  let offset = uptime() - lookedAt;
   return {
     get isProven() {
       return lookedAt - inStepSince >= PROOF_MS;
@@ -72,14 +72,14 @@
         return;
       }
       lookedAt = at;
-      const present = sinceBoot() - at;
+      const present = uptime() - at;
       if (Math.abs(present - offset) > TOLERANCE_MS) {
         offset = present;
         inStepSince = at;
       }
     },
     takeJumpMs: (at) => {
-      const present = sinceBoot() - at;
+      const present = uptime() - at;
       const jumpMs = present - offset;
       offset = present;
       return jumpMs;
@@ -94,10 +94,10 @@
  * costs a question, and deadlines stay, since requests would be given up for a clock that was set.
  */
 export function createNodeClocks(sources: ClockSources = SYSTEM_CLOCK_SOURCES): NodeClocks {
-  const { steady, timeOfDay } = sources;
+  const { monotonic, wallClock } = sources;
   const bootClock = createBootClock(sources);
   const listeners: ((sleptMs: number) => void)[] = [];
-  let dayOffset = timeOfDay() - steady();
+  let dayOffset = wallClock() - monotonic();
   let sleptMs = 0;
   let maybeSleptMs = 0;
 
@@ -113,8 +113,8 @@
     }
   };
   const look = (): number => {
-    const at = steady();
-    const offset = timeOfDay() - at;
+    const at = monotonic();
+    const offset = wallClock() - at;
     const jumpMs = offset - dayOffset;
     dayOffset = offset;
     if (Math.abs(jumpMs) >= JUMP_MS) {
@@ -126,8 +126,8 @@
   };
   return {
     clock: { now: () => look() + sleptMs },
-    beliefClock: { now: () => look() + sleptMs + maybeSleptMs },
-    onWake: (listener) => {
+    freshnessClock: { now: () => look() + sleptMs + maybeSleptMs },
+    onResume: (listener) => {
       listeners.push(listener);
     },
   };
--- a/src/model/recentNames.ts
+++ b/src/model/recentNames.ts
@@ -1,15 +1,15 @@
 /** Remembers names, the latest so many of them. */
 export interface RecentNames {
-  note(name: string): void;
+  add(name: string): void;
   has(name: string): boolean;
-  forget(name: string): void;
+  delete(name: string): void;
 }
 
 export function createRecentNames(most: number): RecentNames {
   /** The oldest first. */
   const names = new Set<string>();
   return {
-    note: (name) => {
+    add: (name) => {
       names.delete(name);
       names.add(name);
       const [oldest] = names;
@@ -18,7 +18,7 @@
       }
     },
     has: (name) => names.has(name),
-    forget: (name) => {
+    delete: (name) => {
       names.delete(name);
     },
   };
--- a/src/model/slidingCount.ts
+++ b/src/model/slidingWindowCounter.ts
@@ -4,17 +4,17 @@
 const PARTS = 20;
 
 /** Events of one kind. */
-export interface SlidingCount {
+export interface SlidingWindowCounter {
   /** Takes note of one event. */
   add(now: number): void;
   /** Events of the last whole window; those of the part that is just leaving it are counted too. */
-  atMost(now: number): number;
+  upperBound(now: number): number;
   /** The same without the part that is just leaving the window. */
-  atLeast(now: number): number;
+  lowerBound(now: number): number;
 }
 
 /** `windowMs` is the length of the window in milliseconds. */
-export function createSlidingCount(windowMs: number): SlidingCount {
+export function createSlidingWindowCounter(windowMs: number): SlidingWindowCounter {
   const partMs = windowMs / PARTS;
   const counts = new Array<number>(PARTS + 1).fill(0);
   let newest = Number.NEGATIVE_INFINITY;
@@ -35,11 +35,11 @@
       const index = newest % (PARTS + 1);
       counts[index] = (counts[index] ?? 0) + 1;
     },
-    atMost: (now) => {
+    upperBound: (now) => {
       advance(now);
       return sum();
     },
-    atLeast: (now) => {
+    lowerBound: (now) => {
       advance(now);
       return sum() - (counts[(newest + 1) % (PARTS + 1)] ?? 0);
     },
--- a/src/model/alarms.ts
+++ b/src/model/suspendAwareTimers.ts
@@ -2,7 +2,7 @@
 import type { NodeClocks } from './nodeClocks.js';
 
 /** One set for each node. */
-export interface Alarms {
+export interface SuspendAwareTimers {
   /** Calls back after so many milliseconds; returns how to take that back. */
   set(callback: () => void, delayMs: number): () => void;
 }
@@ -13,9 +13,12 @@
 }
 
 /** The runtime's timers run on the steady clock, which stands still during a suspension. */
-export function createAlarms({ clock, onWake }: Pick<NodeClocks, 'clock' | 'onWake'>): Alarms {
+export function createSuspendAwareTimers({
+  clock,
+  onResume,
+}: Pick<NodeClocks, 'clock' | 'onResume'>): SuspendAwareTimers {
   const pending = new Set<Alarm>();
-  onWake(() => {
+  onResume(() => {
     // The clock is being read by someone: what is due rings after that.
     setImmediate(() => {
       const now = clock.now();
--- a/src/owner/backEndObservations.ts
+++ b/src/owner/backEndObservations.ts
@@ -1,6 +1,6 @@
 /** What the owner observes of its back end: how fast it is, how much it fails, whether it answers at all. */
-import type { Alarms } from '../model/alarms.js';
 import type { Clock } from '../model/clock.js';
+import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { createBackEndLoad } from './backEndLoad.js';
 import { createFailureShare } from './failureShare.js';
 import { createHangWatch } from './hangWatch.js';
@@ -12,7 +12,7 @@
 /** What is needed of the owner. */
 export interface BackEndObservationsContext {
   readonly clock: Clock;
-  readonly alarms: Alarms;
+  readonly alarms: SuspendAwareTimers;
   /** The back end does not seem to answer a run. */
   readonly onOverdue: (run: OverdueRun) => void;
 }
--- a/src/owner/runWatch.ts
+++ b/src/owner/runWatch.ts
@@ -1,12 +1,12 @@
 /** Looks at a run from time to time until it ends, and tells when the back end seems not to answer it. */
-import type { Alarms } from '../model/alarms.js';
 import type { Clock } from '../model/clock.js';
+import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import type { HangWatch } from './hangWatch.js';
 
 /** What a watch of one run is given. */
 export interface RunWatchContext {
   readonly clock: Clock;
-  readonly alarms: Alarms;
+  readonly alarms: SuspendAwareTimers;
   readonly hangs: HangWatch;
   /** Milliseconds that a run of this route usually takes. */
   readonly usualMs: number;
--- a/src/owner/slotWait.ts
+++ b/src/owner/slotWait.ts
@@ -1,13 +1,13 @@
 /** A task's wait for a slot of the back end. */
-import type { Alarms } from '../model/alarms.js';
 import type { Clock } from '../model/clock.js';
+import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import type { AdmissionControl, AdmissionRequest, Waiter } from './admission-control.js';
 import { type NotRunReason, type OwnerOutcome, type OwnerTask, turnedAway } from './owner.js';
 
 /** What the wait needs of its owner. */
 export interface SlotWaitContext {
   readonly clock: Clock;
-  readonly alarms: Alarms;
+  readonly alarms: SuspendAwareTimers;
   readonly admission: AdmissionControl;
   /** Why no task may be taken now, if so. */
   readonly obstacle: () => NotRunReason | undefined;
--- a/src/peer/peerServer.test.ts
+++ b/src/peer/peerServer.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import { ownerTask, peerReport } from '../../test/fixtures.js';
-import { steadyClock } from '../model/clock.js';
+import { monotonicClock } from '../model/clock.js';
 import type { MessageBody } from '../owner/message-body.js';
 import type { OwnerOutcome, OwnerTask } from '../owner/owner.js';
 import { PeerServer } from './peerServer.js';
@@ -17,7 +17,7 @@
 /** A node whose owner does as it is told, and the way to it. */
 async function ownerThat(run: (task: OwnerTask) => Promise<OwnerOutcome>): Promise<RemoteOwner> {
   server = new PeerServer({
-    clock: steadyClock,
+    clock: monotonicClock,
     owner: { run },
     report: () => peerReport(),
     configuration: () => undefined,
@@ -30,7 +30,7 @@
   });
   const port = await server.listen('127.0.0.1', 0);
   return new RemoteOwner(`127.0.0.1:${port}`, {
-    clock: steadyClock,
+    clock: monotonicClock,
     sender: () => ({ address: '127.0.0.1:1', version: 1 }),
     onReport: () => {},
     onFailure: () => {},
@@ -38,7 +38,7 @@
 }
 
 function uploadOf(bytes: number): OwnerTask {
-  const now = steadyClock.now();
+  const now = monotonicClock.now();
   const body: MessageBody = { kind: 'bytes', bytes: Buffer.alloc(bytes, 'x') };
   return ownerTask({
     method: 'POST',
--- a/src/peer/remoteOwner.test.ts
+++ b/src/peer/remoteOwner.test.ts
@@ -1,7 +1,7 @@
 import net, { type AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
 import { ownerTask, peerReport } from '../../test/fixtures.js';
-import { steadyClock } from '../model/clock.js';
+import { monotonicClock } from '../model/clock.js';
 import { Cancellation } from '../owner/cancellation.js';
 import type { OwnerOutcome, OwnerTask } from '../owner/owner.js';
 import { createPeerConnection, type PeerConnection } from './peerConnection.js';
@@ -51,7 +51,7 @@
   server = listening;
   await new Promise<void>((resolve) => listening.listen(0, '127.0.0.1', resolve));
   const owner = new RemoteOwner(`127.0.0.1:${(listening.address() as AddressInfo).port}`, {
-    clock: steadyClock,
+    clock: monotonicClock,
     sender: () => ({ address: '127.0.0.1:1', version: 1 }),
     onReport: () => {},
     onFailure: (cause) => failures.push(cause),
@@ -61,7 +61,7 @@
 }
 
 function task(repeatable: boolean): OwnerTask {
-  const now = steadyClock.now();
+  const now = monotonicClock.now();
   return ownerTask({ repeatable, deadlineAt: now + 5_000, targetAt: now + 1_000 });
 }
 
@@ -162,13 +162,13 @@
     });
     await owner.run(task(true));
     isSilent = true;
-    const startedAt = steadyClock.now();
+    const startedAt = monotonicClock.now();
     let outcome: Promise<OwnerOutcome> | undefined;
     await new Promise<void>((resolve) => {
       const onProgress = (stage: string) => stage === 'silent' && resolve();
       outcome = owner.run({ ...task(true), onProgress });
     });
-    expect(steadyClock.now() - startedAt).toBeLessThan(LONG_MS);
+    expect(monotonicClock.now() - startedAt).toBeLessThan(LONG_MS);
     expect(failures).toEqual(['silent']);
     heldFor?.send(ANSWER);
     expect(await outcome).toMatchObject({ kind: 'answer', status: 200 });
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -40,7 +40,7 @@
   }
   const sync = createRolloutSync({
     ...context,
-    clock: clocks.beliefClock,
+    clock: clocks.freshnessClock,
     store: relay.store,
     objects: outside.rollouts,
     own: record,
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -57,7 +57,7 @@
     metrics: SidecarMetrics,
   ) {
     this.clock = clocks.clock;
-    clocks.onWake((sleptMs) => log.event('woken', { sleptMs: Math.round(sleptMs) }));
+    clocks.onResume((sleptMs) => log.event('woken', { sleptMs: Math.round(sleptMs) }));
     this.parts = createSidecarParts({
       settings: () => this.settings,
       outside,
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -14,7 +14,7 @@
 import { createOfferLimit } from '../ingress/offerLimit.js';
 import { createReturnTimes } from '../ingress/returnTimes.js';
 import { SharedRetryBudget } from '../ingress/shared-retry-budget.js';
-import { createAlarms } from '../model/alarms.js';
+import { createSuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { LocalOwner } from '../owner/local-owner.js';
 import { bulkWindowOf } from '../peer/bodySender.js';
 import { PeerCaller } from '../peer/peerCaller.js';
@@ -60,8 +60,8 @@
 
 export function createSidecarParts(context: SidecarPartsContext): SidecarParts {
   const { settings, outside, clocks, log, metrics } = context;
-  const { clock, beliefClock } = clocks;
-  const alarms = createAlarms(clocks);
+  const { clock, freshnessClock: beliefClock } = clocks;
+  const alarms = createSuspendAwareTimers(clocks);
   const { names } = outside;
   const { zone } = settings();
 
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -34,7 +34,7 @@
 export function createRelayPart(context: RelayPartContext): ZoneRelay {
   const { settings, outside, clocks, log, metrics, load, directory, reads, record } = context;
   return createZoneRelay({
-    clock: clocks.beliefClock,
+    clock: clocks.freshnessClock,
     store: new ObservedStore(
       outside.store,
       () => clocks.clock.now(),
@@ -80,7 +80,7 @@
     return Promise.all(held);
   };
   return new ConfigurationFollower({
-    clock: clocks.beliefClock,
+    clock: clocks.freshnessClock,
     store: relay.store,
     provenAt: () => relay.store.answeredAt,
     kind: outside.configurationKind,
--- a/src/source/collection-watcher.ts
+++ b/src/source/collection-watcher.ts
@@ -3,7 +3,7 @@
  * new list; failures lead to jittered back-off, so that a herd of nodes does not
  * storm the store.
  */
-import { steadyClock } from '../model/clock.js';
+import { monotonicClock } from '../model/clock.js';
 import { type ObjectStore, Reading, type StoredObject, type StoreError } from './object-store.js';
 
 /** Receives what a watcher learns, in order. */
@@ -87,14 +87,14 @@
   /** Runs until {@link stop}. */
   async run(): Promise<void> {
     while (!this.stopped) {
-      const sentAt = steadyClock.now();
+      const sentAt = monotonicClock.now();
       const failure = await this.readNext();
       if (failure?.failure === 'history-gone' && !this.isListFresh) {
         this.revision = undefined;
       } else if (failure) {
         this.note(false, failure.failure, failure.detail);
         this.revision = failure.failure === 'history-gone' ? undefined : this.revision;
-        await this.pause(this.nextBackoff(steadyClock.now() - sentAt));
+        await this.pause(this.nextBackoff(monotonicClock.now() - sentAt));
       }
     }
   }
--- a/src/tenants/tenantUse.ts
+++ b/src/tenants/tenantUse.ts
@@ -1,7 +1,10 @@
 /** What tenants have used of late at one node: for operators, who add it up over the fleet. */
 import * as z from 'zod';
 import type { Clock } from '../model/clock.js';
-import { createSlidingCount, type SlidingCount } from '../model/slidingCount.js';
+import {
+  createSlidingWindowCounter,
+  type SlidingWindowCounter,
+} from '../model/slidingWindowCounter.js';
 
 /** Counted are the requests of this time, in milliseconds: long enough for a tenant of one in a few seconds. */
 export const USE_WINDOW_MS = 10_000;
@@ -24,8 +27,8 @@
 }
 
 interface Counts {
-  readonly admitted: SlidingCount;
-  readonly refused: SlidingCount;
+  readonly admitted: SlidingWindowCounter;
+  readonly refused: SlidingWindowCounter;
 }
 
 /** Keeps one pair of counts for each tenant that has sent a request here: as many as configurations name. */
@@ -34,8 +37,8 @@
   return {
     note: (tenant, isRefused) => {
       const known = counts.get(tenant) ?? {
-        admitted: createSlidingCount(USE_WINDOW_MS),
-        refused: createSlidingCount(USE_WINDOW_MS),
+        admitted: createSlidingWindowCounter(USE_WINDOW_MS),
+        refused: createSlidingWindowCounter(USE_WINDOW_MS),
       };
       counts.set(tenant, known);
       (isRefused ? known.refused : known.admitted).add(clock.now());
@@ -45,8 +48,8 @@
       const uses = [...counts].map(
         ([name, { admitted, refused }]): TenantUse => ({
           name,
-          admitted: admitted.atMost(now),
-          refused: refused.atMost(now),
+          admitted: admitted.upperBound(now),
+          refused: refused.upperBound(now),
         }),
       );
       return Buffer.from(JSON.stringify(uses));
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, expect, it } from 'vitest';
 import { MemoryStore, StoreView } from '../lab/memory-store.js';
 import { waitFor } from '../lab/sidecar-mesh.js';
-import { steadyClock } from '../src/model/clock.js';
+import { monotonicClock } from '../src/model/clock.js';
 import { compilePolicy } from '../src/policy/placement-policy.js';
 import {
   ConfigurationFollower,
@@ -31,7 +31,7 @@
   more: Partial<ConfigurationFollowerOptions> = {},
 ): ConfigurationFollower {
   follower = new ConfigurationFollower({
-    clock: steadyClock,
+    clock: monotonicClock,
     provenAt: () => Number.NEGATIVE_INFINITY,
     store: view,
     kind: 'config',
@@ -144,7 +144,7 @@
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const node = follow(view, [], { provenAt: () => steadyClock.now() });
+  const node = follow(view, [], { provenAt: () => monotonicClock.now() });
   const old = store.revision;
   await waitFor(() => node.version === 1 && node.isConnected);
   store.put('config', 'other', {});
