--- a/src/peer/peerCodec.ts
+++ b/src/peer/peerCodec.ts
@@ -1,7 +1,7 @@
 /** How messages between nodes travel: each is a frame that holds a list, its kind first. */
 
 import { encodeFrame } from '../codec/frame.js';
-import { isAmount, isCount } from '../codec/readNumbers.js';
+import { isNonNegativeInteger, isNonNegativeNumber } from '../codec/numberGuards.js';
 import type { NotRunReason, OwnerNotRun, OwnerUnknown } from '../owner/owner.js';
 import {
   type AnswerMessage,
@@ -99,7 +99,9 @@
       return readQuotaAsk(content);
     case MessageKind.QuotaGranted: {
       const [granted, dryMs] = content;
-      return isCount(granted) && isCount(dryMs) ? { kind, granted, dryMs } : undefined;
+      return isNonNegativeInteger(granted) && isNonNegativeInteger(dryMs)
+        ? { kind, granted, dryMs }
+        : undefined;
     }
     case MessageKind.TurnedAway:
       return readTurnedAway(content);
@@ -184,7 +186,7 @@
 
 function readQuotaAsk([sender, tenant, wanted]: unknown[]): QuotaAskMessage | undefined {
   const from = readSender(sender);
-  return from && typeof tenant === 'string' && isCount(wanted)
+  return from && typeof tenant === 'string' && isNonNegativeInteger(wanted)
     ? { kind: MessageKind.QuotaAsk, sender: from, tenant, wanted }
     : undefined;
 }
@@ -204,7 +206,7 @@
     kind: 'not-run',
     reason: reason as NotRunReason,
     arrived: arrived === true,
-    ...(isAmount(retryAfterMs) ? { retryAfterMs } : {}),
+    ...(isNonNegativeNumber(retryAfterMs) ? { retryAfterMs } : {}),
   };
   return { kind: MessageKind.TurnedAway, outcome, report };
 }
@@ -218,7 +220,7 @@
 
 /** A status code of HTTP. */
 function isStatus(value: unknown): value is number {
-  return isCount(value) && value >= LEAST_STATUS && value <= LARGEST_STATUS;
+  return isNonNegativeInteger(value) && value >= LEAST_STATUS && value <= LARGEST_STATUS;
 }
 
 function listOfSender({ address, version }: PeerSender): unknown[] {
--- a/src/peer/reportCodec.ts
+++ b/src/peer/reportCodec.ts
@@ -1,5 +1,9 @@
 /** How a node's report of itself travels: as a list, in a fixed order. */
-import { amountOr, isAmount, isCount } from '../codec/readNumbers.js';
+import {
+  isNonNegativeInteger,
+  isNonNegativeNumber,
+  nonNegativeNumberOr,
+} from '../codec/numberGuards.js';
 import type { PeerReport } from './peerMessages.js';
 
 /** A report tells shares and slowness in whole parts of a hundred. */
@@ -43,7 +47,7 @@
     waiting,
   ] = value as unknown[];
   const counts = [inFlight, queued, slots, version];
-  if (!counts.every(isAmount)) {
+  if (!counts.every(isNonNegativeNumber)) {
     return undefined;
   }
   return {
@@ -52,12 +56,12 @@
     inFlight: inFlight as number,
     queued: queued as number,
     slots: slots as number,
-    meanServiceMs: amountOr(meanServiceMs, undefined),
+    meanServiceMs: nonNegativeNumberOr(meanServiceMs, undefined),
     version: version as number,
-    failureShare: amountOr(failed, 0) / PERCENT,
+    failureShare: nonNegativeNumberOr(failed, 0) / PERCENT,
     backEndVersion: typeof backEndVersion === 'string' ? backEndVersion : undefined,
-    bornAt: isCount(bornAt) ? bornAt : undefined,
-    slowness: (amountOr(slowness, PERCENT) || PERCENT) / PERCENT,
-    waiting: amountOr(waiting, 0),
+    bornAt: isNonNegativeInteger(bornAt) ? bornAt : undefined,
+    slowness: (nonNegativeNumberOr(slowness, PERCENT) || PERCENT) / PERCENT,
+    waiting: nonNegativeNumberOr(waiting, 0),
   };
 }
--- a/src/peer/taskCodec.ts
+++ b/src/peer/taskCodec.ts
@@ -1,5 +1,5 @@
 /** How the fields of a task travel between nodes: as a list, in a fixed order. */
-import { isAmount } from '../codec/readNumbers.js';
+import { isNonNegativeNumber } from '../codec/numberGuards.js';
 import { NO_FINGERPRINT } from '../quarantine/fingerprint.js';
 import type { TaskFields } from './peerMessages.js';
 
@@ -43,7 +43,7 @@
   if (typeof service !== 'string' || typeof id !== 'string') {
     return undefined;
   }
-  if (typeof route !== 'string' || typeof caller !== 'string' || !isAmount(priority)) {
+  if (typeof route !== 'string' || typeof caller !== 'string' || !isNonNegativeNumber(priority)) {
     return undefined;
   }
   // Both are negative once their times are over.
--- a/src/rollout/rolloutNews.ts
+++ b/src/rollout/rolloutNews.ts
@@ -1,5 +1,5 @@
 /** What nodes tell one another of a roll-out, and how it travels: as lists, in a fixed order. */
-import { isAmount } from '../codec/readNumbers.js';
+import { isNonNegativeNumber } from '../codec/numberGuards.js';
 import type { PhaseWord } from './rolloutBook.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
@@ -147,7 +147,7 @@
   if (kind === RolloutNewsKind.Limit) {
     return readLimit({ service, orderId: third }, value);
   }
-  if (!isAmount(fourth)) {
+  if (!isNonNegativeNumber(fourth)) {
     return undefined;
   }
   const head = { service, orderId: third, ageMs: fourth };
@@ -172,7 +172,7 @@
     return undefined;
   }
   const isShare = (each: unknown): each is [string, number] =>
-    Array.isArray(each) && typeof each[0] === 'string' && isAmount(each[1]);
+    Array.isArray(each) && typeof each[0] === 'string' && isNonNegativeNumber(each[1]);
   const isName = (each: unknown): each is string => typeof each === 'string';
   return {
     shares: new Map(shares.filter(isShare).map(([route, units]) => [route, units / SHARE_UNITS])),
@@ -189,7 +189,7 @@
   const isRead =
     typeof node === 'string' &&
     typeof countId === 'string' &&
-    isAmount(limit) &&
+    isNonNegativeNumber(limit) &&
     typeof isOpen === 'boolean';
   return isRead
     ? { ...head, kind: RolloutNewsKind.Limit, node, countId, limit, isOpen }
@@ -202,13 +202,18 @@
   if (value[0] !== RolloutNewsKind.Evidence || typeof node !== 'string' || !Array.isArray(routes)) {
     return undefined;
   }
-  if (!isPhase(phase) || typeof countId !== 'string' || !isAmount(sequence)) {
+  if (!isPhase(phase) || typeof countId !== 'string' || !isNonNegativeNumber(sequence)) {
     return undefined;
   }
   const isKnown = isTextOrNone(version) && isAmountOrNone(readyMs);
-  const isLimited = isAmount(taken) && isAmount(limit);
+  const isLimited = isNonNegativeNumber(taken) && isNonNegativeNumber(limit);
   // A load that cannot be read must not pass for none: an owner that runs nothing may be stopped.
-  if (!isKnown || !isAmount(slots) || !isAmount(load) || typeof isFenced !== 'boolean') {
+  if (
+    !isKnown ||
+    !isNonNegativeNumber(slots) ||
+    !isNonNegativeNumber(load) ||
+    typeof isFenced !== 'boolean'
+  ) {
     return undefined;
   }
   const counts = routes.map(readRoute);
@@ -224,9 +229,9 @@
   const [route, answered, failed, lost, durations, cuts] = Array.isArray(value) ? value : [];
   const isRead =
     typeof route === 'string' &&
-    isAmount(answered) &&
-    isAmount(failed) &&
-    isAmount(lost) &&
+    isNonNegativeNumber(answered) &&
+    isNonNegativeNumber(failed) &&
+    isNonNegativeNumber(lost) &&
     isAmounts(durations) &&
     isAmounts(cuts);
   return isRead ? [route, { answered, failed, lost, durations, cuts }] : undefined;
@@ -237,11 +242,11 @@
 }
 
 function isAmounts(value: unknown): value is number[] {
-  return Array.isArray(value) && value.every(isAmount);
+  return Array.isArray(value) && value.every(isNonNegativeNumber);
 }
 
 function isAmountOrNone(value: unknown): value is number | undefined {
-  return value === undefined || isAmount(value);
+  return value === undefined || isNonNegativeNumber(value);
 }
 
 function isTextOrNone(value: unknown): value is string | undefined {
