--- a/lab/relayFleet.ts
+++ b/lab/relayFleet.ts
@@ -100,21 +100,24 @@
   });
   const follower = new ConfigurationFollower({
     clock,
-    provenAt: () => relay.store.answeredAt,
+    storeReachableAt: () => relay.store.answeredAt,
     store: relay.store,
     kind: CONFIGURATION_KIND,
     name: CONFIGURATION_NAME,
-    applyMs: FLEET_APPLY_MS,
-    settleMs: () => relay.settleMs(),
+    applyDeadlineMs: FLEET_APPLY_MS,
+    debounceMs: () => relay.settleMs(),
     decode: labOutside(view).decodeConfiguration,
     decodeBytes: () => undefined,
-    askPeer: async () => undefined,
+    fetchFromPeer: async () => undefined,
     onConnected: () => {},
-    onInForce: () => {},
-    onHeldOff: () => {},
-    onShort: () => {},
+    onApplied: () => {},
+    onRejected: () => {},
+    onDependenciesMissing: () => {},
     onUnreadable: () => {},
-    supplier: { supplies: { compilePolicy: undefined, secrets: new Map() }, fetch: async () => {} },
+    dependencyLoader: {
+      dependencies: { compilePolicy: undefined, secrets: new Map() },
+      load: async () => {},
+    },
   });
   return { node, follower, relay, view, incoming, outgoing };
 }
--- a/lab/storeServer.ts
+++ b/lab/storeServer.ts
@@ -5,7 +5,7 @@
 import http from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import {
-  Reading,
+  ReadConsistency,
   type StoredObject,
   type StoreFailure,
   type StoreResult,
@@ -154,7 +154,7 @@
       at: countOf(changes.revision),
     }));
   }
-  const reading = query.has('stale') ? Reading.Lately : Reading.Now;
+  const reading = query.has('stale') ? ReadConsistency.BoundedStaleness : ReadConsistency.Strong;
   return told(await view.list(kind, reading), ({ items, revision }) => ({
     items: items.map(wireObject),
     more: false,
--- a/lab/storeView.ts
+++ b/lab/storeView.ts
@@ -1,7 +1,7 @@
 /** One node's way to the store in memory, with the faults that it may show there. */
 import {
   type ObjectStore,
-  Reading,
+  ReadConsistency,
   type StoreChanges,
   type StoredObject,
   type StoreEvent,
@@ -43,8 +43,13 @@
 
   constructor(private readonly store: MemoryStore) {}
 
-  list<Spec>(kind: string, reading = Reading.Now): Promise<StoreResult<StoreListing<Spec>>> {
-    const asOf = this.listsAsOf ?? (reading === Reading.Lately ? this.latelyAsOf : undefined);
+  list<Spec>(
+    kind: string,
+    reading = ReadConsistency.Strong,
+  ): Promise<StoreResult<StoreListing<Spec>>> {
+    const asOf =
+      this.listsAsOf ??
+      (reading === ReadConsistency.BoundedStaleness ? this.latelyAsOf : undefined);
     return this.answer(() => ({
       ok: true,
       value: {
--- a/src/cli/fleetStatus.ts
+++ b/src/cli/fleetStatus.ts
@@ -5,7 +5,7 @@
 import { isOwnerRecord, readOwnerRecords } from '../directory/ownerRecord.js';
 import { PeerCaller } from '../peer/peerCaller.js';
 import type { PeerReport } from '../peer/peerMessages.js';
-import { type ObjectStore, Reading, type StoreFailure } from '../source/object-store.js';
+import { type ObjectStore, ReadConsistency, type StoreFailure } from '../source/object-store.js';
 import { readTenantUse, type TenantUse } from '../tenants/tenantUse.js';
 
 /** Nodes that are asked at the same time. */
@@ -58,7 +58,7 @@
 export async function readRecords(
   store: ObjectStore,
 ): Promise<{ records: OwnerRecord[] } | { failure: StoreFailure }> {
-  const listed = await store.list<OwnerRecord>(NODE_KIND, Reading.Now);
+  const listed = await store.list<OwnerRecord>(NODE_KIND, ReadConsistency.Strong);
   return listed.ok
     ? {
         records: listed.value.items
--- a/src/cli/quarantineCommands.ts
+++ b/src/cli/quarantineCommands.ts
@@ -1,6 +1,6 @@
 /** Commands about requests that are refused because they have crashed back ends. */
 import { CRASH_KIND, type CrashRecord, isCrashRecord } from '../directory/crashRecord.js';
-import { type ObjectStore, Reading } from '../source/object-store.js';
+import { type ObjectStore, ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
 import { refuse, unavailable } from './failures.js';
@@ -59,7 +59,7 @@
 
 /** What another writer left among them is no record. */
 async function readCrashes(store: ObjectStore) {
-  const listed = await store.list<CrashRecord>(CRASH_KIND, Reading.Now);
+  const listed = await store.list<CrashRecord>(CRASH_KIND, ReadConsistency.Strong);
   if (!listed.ok) {
     return listed;
   }
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -6,7 +6,7 @@
 import { type RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
 import {
   type ObjectStore,
-  Reading,
+  ReadConsistency,
   type StoredObject,
   type StoreError,
   type StoreResult,
@@ -79,7 +79,7 @@
   if (!rollouts) {
     return refuse([NOT_FOLLOWED], output);
   }
-  const listed = await store.list<unknown>(rollouts.kind, Reading.Now);
+  const listed = await store.list<unknown>(rollouts.kind, ReadConsistency.Strong);
   if (!listed.ok) {
     return unavailable(listed.failure, output);
   }
--- a/src/cli/secretCommands.ts
+++ b/src/cli/secretCommands.ts
@@ -1,8 +1,8 @@
 /** The command about secrets: a configuration names them by their digests. */
 import { readFileSync } from 'node:fs';
 import { secretDigest } from '../routing/completeConfiguration.js';
-import { Reading } from '../source/object-store.js';
-import { SECRET_KIND, type SecretObject } from '../source/supplier.js';
+import { SECRET_KIND, type SecretObject } from '../source/dependencyLoader.js';
+import { ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
 import { unavailable } from './failures.js';
@@ -15,7 +15,7 @@
   file: string,
 ): Promise<ExitCode> {
   const value = readFileSync(file, 'utf8').trimEnd();
-  const listed = await store.list<SecretObject>(SECRET_KIND, Reading.Now);
+  const listed = await store.list<SecretObject>(SECRET_KIND, ReadConsistency.Strong);
   if (!listed.ok) {
     return unavailable(listed.failure, output);
   }
--- a/src/cli/storedConfiguration.ts
+++ b/src/cli/storedConfiguration.ts
@@ -4,7 +4,7 @@
 import { checkMeshConfiguration, type MeshConfiguration } from '../routing/mesh-configuration.js';
 import {
   type ObjectStore,
-  Reading,
+  ReadConsistency,
   type StoredObject,
   type StoreFailure,
 } from '../source/object-store.js';
@@ -38,7 +38,7 @@
   store: ObjectStore,
   outside: OperatorOutside,
 ): Promise<ReadResult> {
-  const listed = await store.list<unknown>(outside.configurationKind, Reading.Now);
+  const listed = await store.list<unknown>(outside.configurationKind, ReadConsistency.Strong);
   if (!listed.ok) {
     return { kind: 'unavailable', failure: listed.failure };
   }
--- a/src/directory/directory-sync.test.ts
+++ b/src/directory/directory-sync.test.ts
@@ -51,7 +51,7 @@
     directory,
     caller,
     own: () => own,
-    timing: { waitMs: 1_000, settleMs: () => 0 },
+    timing: { waitMs: 1_000, debounceMs: () => 0 },
     onConnected: () => {},
     onOwner: () => {},
     onReport: () => {},
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -185,13 +185,13 @@
         }
       },
       onConnected: context.onConnected,
-      onCurrent: () => book.noteCurrent(),
+      onUpToDate: () => book.noteCurrent(),
     },
     {
       get waitMs() {
         return book.runningServices.length > 0 ? RUNNING_WAIT_MS : QUIET_WAIT_MS;
       },
-      settleMs: () => 0,
+      debounceMs: () => 0,
     },
   );
 
--- a/src/peer/peerMessages.ts
+++ b/src/peer/peerMessages.ts
@@ -8,7 +8,7 @@
  */
 import type { OwnerNotRun, OwnerTask, OwnerUnknown } from '../owner/owner.js';
 import type { OwnerReport } from '../owner/owner-report.js';
-import type { StoreQuestion } from '../source/object-store.js';
+import type { StoreQuery } from '../source/object-store.js';
 
 /** What a message is. Numbers, since they travel with every message. */
 export enum MessageKind {
@@ -132,7 +132,7 @@
 export interface ReadMessage {
   readonly kind: MessageKind.Read;
   readonly sender: PeerSender;
-  readonly question: StoreQuestion;
+  readonly question: StoreQuery;
 }
 
 export interface NewsMessage {
--- a/src/peer/peerReads.ts
+++ b/src/peer/peerReads.ts
@@ -1,5 +1,5 @@
 /** Short calls to other nodes that come often, on connections that are kept: reads of the store, quotas. */
-import type { StoreQuestion } from '../source/object-store.js';
+import type { StoreQuery } from '../source/object-store.js';
 import type { SentObserver } from './peerConnection.js';
 import { createPeerConnections, type PeerConnections } from './peerConnections.js';
 import {
@@ -12,7 +12,7 @@
 /** Asks other nodes for what they know of the store. */
 export interface PeerReads {
   /** The node's packed answer; undefined when it does not come in time. */
-  read(address: string, question: StoreQuestion, timeoutMs: number): Promise<Buffer | undefined>;
+  read(address: string, question: StoreQuery, timeoutMs: number): Promise<Buffer | undefined>;
   /** Asks the holder of a part of a tenant's quota; undefined when it does not answer in time. */
   askQuota(
     address: string,
--- a/src/peer/peerServer.ts
+++ b/src/peer/peerServer.ts
@@ -3,7 +3,7 @@
 import type { Clock } from '../model/clock.js';
 import { Cancellation } from '../owner/cancellation.js';
 import type { Owner, OwnerAnswer, OwnerOutcome, OwnerTask } from '../owner/owner.js';
-import type { StoreQuestion } from '../source/object-store.js';
+import type { StoreQuery } from '../source/object-store.js';
 import { type BodyReceiver, createBodyReceiver } from './bodyReceiver.js';
 import { listenOn } from './listenOn.js';
 import {
@@ -41,7 +41,7 @@
   /** What tenants have used here of late, as bytes. */
   readonly tenantUse: () => Buffer;
   /** Answers a node that reads the store by way of this one. */
-  readonly read: (question: StoreQuestion) => Promise<Buffer>;
+  readonly read: (question: StoreQuery) => Promise<Buffer>;
   /** Answers a node that asks for requests of a tenant; undefined where no part of its quota is held. */
   readonly grant: (
     tenant: string,
--- a/src/relay/readerQuestions.ts
+++ b/src/relay/readerQuestions.ts
@@ -3,7 +3,7 @@
  * an answer, and who is left in peace for a while.
  */
 import type { Clock } from '../model/clock.js';
-import type { StoreChanges, StoreQuestion, StoreResult } from '../source/object-store.js';
+import type { StoreChanges, StoreQuery, StoreResult } from '../source/object-store.js';
 import type { StoreCache } from './storeCache.js';
 import type { ZoneNode, ZonePart } from './zoneReaders.js';
 
@@ -43,11 +43,7 @@
   /** True while this node reads by itself, for others too. */
   readonly isReader: () => boolean;
   /** Asks a reader; undefined when it is silent. */
-  readonly ask: (
-    address: string,
-    question: StoreQuestion,
-    timeoutMs: number,
-  ) => Promise<ReaderAnswer>;
+  readonly ask: (address: string, question: StoreQuery, timeoutMs: number) => Promise<ReaderAnswer>;
   /** A reader has spoken for the store. */
   readonly onAnswered: () => void;
   /** A reader was silent. */
@@ -69,7 +65,7 @@
    */
   watch(from: ZoneNode, kind: string, revision: number, waitMs: number): Promise<ReaderAnswer>;
   /** Asks another zone's reader: the store has not answered this node. */
-  askElsewhere(question: StoreQuestion): Promise<ReaderAnswer>;
+  askElsewhere(question: StoreQuery): Promise<ReaderAnswer>;
   /** The node reads by itself now. */
   noteOwn(cause: string): void;
 }
@@ -96,7 +92,7 @@
   };
 
   /** Undefined when the reader is silent; as unavailable when it cannot speak for the store now. */
-  const ask = async (from: ZoneNode, question: StoreQuestion): Promise<ReaderAnswer> => {
+  const ask = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
     const isList = question.revision === undefined;
     const timeoutMs = isList ? LIST_PATIENCE_MS : question.waitMs + patienceMs;
     const base = cache.onlyRevision(question.kind);
@@ -128,7 +124,7 @@
    * no earlier version of what this node holds, and would send it whole. A configuration is asked of
    * the store at once, since the time within which it must be in force has room for one more call.
    */
-  const watch = async (from: ZoneNode, question: StoreQuestion): Promise<ReaderAnswer> => {
+  const watch = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
     const answer = await ask(from, question);
     const hasCeased = answer !== undefined && !spoken(answer);
     if (!hasCeased || question.kind === hurriedKind || isReader()) {
--- a/src/relay/relayedStore.test.ts
+++ b/src/relay/relayedStore.test.ts
@@ -1,6 +1,6 @@
 import { expect, it, vi } from 'vitest';
 import { MemoryStore, StoreView } from '../../lab/memory-store.js';
-import { Reading, type StoreQuestion } from '../source/object-store.js';
+import { ReadConsistency, type StoreQuery } from '../source/object-store.js';
 import { createOwnWatches } from './ownWatches.js';
 import { createRelayedStore, type RelayedStoreContext } from './relayedStore.js';
 import { createStoreCache } from './storeCache.js';
@@ -47,7 +47,7 @@
 
 /** A follower's store whose reader never answers, and what the reader is asked. */
 function followerOfSilentReader(patienceMs = PACE_MS) {
-  const asked: { question: StoreQuestion; timeoutMs: number }[] = [];
+  const asked: { question: StoreQuery; timeoutMs: number }[] = [];
   const { relayed } = nodeWith({
     patienceMs,
     zonePart: () => ({ role: ZoneRole.Follower, readers: [READER], elsewhere: () => [] }),
@@ -63,14 +63,14 @@
 it('a node that starts waits for its reader a moment only, and asks the store', async () => {
   const { relayed } = followerOfSilentReader(2_000);
   const startedAt = performance.now();
-  const listed = await relayed.list(CONFIGURATION, Reading.Lately);
+  const listed = await relayed.list(CONFIGURATION, ReadConsistency.BoundedStaleness);
   expect(listed).toMatchObject({ ok: true, value: { items: [{ name: 'current' }] } });
   expect(performance.now() - startedAt).toBeLessThan(250);
 });
 
 it('a list of now is asked of the store alone', async () => {
   const { relayed, asked } = followerOfSilentReader();
-  expect(await relayed.list(CONFIGURATION, Reading.Now)).toMatchObject({ ok: true });
+  expect(await relayed.list(CONFIGURATION, ReadConsistency.Strong)).toMatchObject({ ok: true });
   expect(asked).toEqual([]);
 });
 
--- a/src/relay/relayedStore.ts
+++ b/src/relay/relayedStore.ts
@@ -7,7 +7,7 @@
  */
 import {
   type ObjectStore,
-  Reading,
+  ReadConsistency,
   type StoreChanges,
   type StoredObject,
   type StoreListing,
@@ -80,7 +80,7 @@
     reach.noteAnswered();
     return { ok: true, value: cache.noteChanges(kind, revision, result.value) };
   };
-  const listStore = async <Spec>(kind: string, reading: Reading) => {
+  const listStore = async <Spec>(kind: string, reading: ReadConsistency) => {
     const result = await store.list<Spec>(kind, reading);
     if (!result.ok) {
       return result;
@@ -144,9 +144,9 @@
     },
     list: async <Spec>(
       kind: string,
-      reading: Reading,
+      reading: ReadConsistency,
     ): Promise<StoreResult<StoreListing<Spec>>> => {
-      const mayAsk = toList.delete(kind) || reading === Reading.Lately;
+      const mayAsk = toList.delete(kind) || reading === ReadConsistency.BoundedStaleness;
       const from = mayAsk ? readers.readerToAsk() : undefined;
       let answer = from && (await readers.list(from, kind));
       if (!answer?.ok) {
--- a/src/relay/storeCache.test.ts
+++ b/src/relay/storeCache.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { Reading, type StoredObject } from '../source/object-store.js';
+import { ReadConsistency, type StoredObject } from '../source/object-store.js';
 import { mayBeLost, revisionOf } from '../source/storeRevision.js';
 import { createStoreCache } from './storeCache.js';
 import { createStoreReach } from './storeReach.js';
@@ -147,9 +147,13 @@
     const reach = createStoreReach({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 100 });
     reach.noteAnswered();
-    cache.noteList(KIND, { items: [object('a', 300)], revision: 310 }, Reading.Lately);
+    cache.noteList(
+      KIND,
+      { items: [object('a', 300)], revision: 310 },
+      ReadConsistency.BoundedStaleness,
+    );
     cache.noteDoubt(KIND);
-    cache.noteList(KIND, { items: [object('b', 250)], revision: 260 }, Reading.Now);
+    cache.noteList(KIND, { items: [object('b', 250)], revision: 260 }, ReadConsistency.Strong);
     const result = await cache.read({ kind: KIND, revision: undefined, waitMs: 0 });
     expect(result.ok && result.value).toMatchObject({
       events: [{ object: { name: 'b' } }],
--- a/src/relay/storeCache.ts
+++ b/src/relay/storeCache.ts
@@ -6,12 +6,12 @@
 import type { Clock } from '../model/clock.js';
 import { createWaiters, type Waiters } from '../model/waiters.js';
 import {
-  Reading,
+  ReadConsistency,
   type StoreChanges,
   type StoredObject,
   type StoreEvent,
   type StoreListing,
-  type StoreQuestion,
+  type StoreQuery,
   type StoreResult,
 } from '../source/object-store.js';
 import { eraOf } from '../source/storeRevision.js';
@@ -45,7 +45,11 @@
   /** True while the store itself has answered this node lately. */
   readonly isFresh: boolean;
   /** Returns the list with what it shares with what was known. */
-  noteList<Spec>(kind: string, listing: StoreListing<Spec>, reading?: Reading): StoreListing<Spec>;
+  noteList<Spec>(
+    kind: string,
+    listing: StoreListing<Spec>,
+    reading?: ReadConsistency,
+  ): StoreListing<Spec>;
   /** Returns the changes with what they share with what was known. */
   noteChanges<Spec>(kind: string, from: number, changes: StoreChanges<Spec>): StoreChanges<Spec>;
   /**
@@ -65,7 +69,7 @@
   /** The object of this revision, present or earlier, while it is kept. */
   objectAt(kind: string, revision: number): StoredObject<unknown> | undefined;
   /** Answers another node; `unavailable` as soon as the cache is not fresh. */
-  read(question: StoreQuestion): Promise<StoreResult<StoreChanges<unknown>>>;
+  read(question: StoreQuery): Promise<StoreResult<StoreChanges<unknown>>>;
 }
 
 interface LastChange {
@@ -97,9 +101,9 @@
 
   const freshLeftMs = () => reach.answeredAt + freshMs - clock.now();
   /** False while this node or the asker knows of a later era of the store. */
-  const isCurrent = ({ isInDoubt, revision }: CachedKind, { revision: from = 0 }: StoreQuestion) =>
+  const isCurrent = ({ isInDoubt, revision }: CachedKind, { revision: from = 0 }: StoreQuery) =>
     !isInDoubt && eraOf(revision) >= Math.max(era(), eraOf(from));
-  const answerOf = (cached: CachedKind, question: StoreQuestion) => {
+  const answerOf = (cached: CachedKind, question: StoreQuery) => {
     const { revision } = question;
     if (revision !== undefined && revision < cached.since) {
       return failed('history-gone');
@@ -117,9 +121,9 @@
     get isFresh() {
       return freshLeftMs() > 0;
     },
-    noteList: (kind, listing, reading = Reading.Now) => {
+    noteList: (kind, listing, reading = ReadConsistency.Strong) => {
       const known = kinds.get(kind);
-      const isNow = reading === Reading.Now;
+      const isNow = reading === ReadConsistency.Strong;
       if (!known || (isNow && !known.isProven && listing.revision < known.revision)) {
         kinds.set(kind, listed(listing, isNow));
         known?.waiting.wakeAll();
--- a/src/relay/zoneRelay.ts
+++ b/src/relay/zoneRelay.ts
@@ -1,7 +1,7 @@
 /** One node's part in reading the store for its zone, put together. */
 import type { Clock } from '../model/clock.js';
 import { createEraGuard } from '../source/eraGuard.js';
-import type { ObjectStore, StoreQuestion } from '../source/object-store.js';
+import type { ObjectStore, StoreQuery } from '../source/object-store.js';
 import { createOwnWatches } from './ownWatches.js';
 import { startReachProof } from './reachProof.js';
 import { createRelayedStore, type RelayedStore } from './relayedStore.js';
@@ -40,7 +40,7 @@
   /** Asks another node; undefined when it does not answer in time. */
   readonly readPeer: (
     address: string,
-    question: StoreQuestion,
+    question: StoreQuery,
     timeoutMs: number,
   ) => Promise<Buffer | undefined>;
   readonly onReader: (reader: string | undefined, cause: string) => void;
@@ -64,7 +64,7 @@
   /** Milliseconds for which changes of the configuration are gathered before the next call. */
   settleMs(): number;
   /** Answers a node that reads by way of this one. */
-  answer(question: StoreQuestion): Promise<Buffer>;
+  answer(question: StoreQuery): Promise<Buffer>;
   stop(): void;
 }
 
@@ -73,7 +73,7 @@
   const origin = createEraGuard({
     clock,
     store: context.store,
-    onRise: (era, before) => {
+    onEraIncrease: (era, before) => {
       context.onEraRise(era, before);
       watches.noteEra(era);
     },
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -64,9 +64,9 @@
       clocks,
       log,
       metrics,
-      onInForce: (routes, origin) => {
+      onApplied: (routes, origin) => {
         metrics.noteTenants(routes.configuration.tenants);
-        this.onInForce(routes, origin);
+        this.onApplied(routes, origin);
       },
     });
     this.lifecycle = createLifecycle((state) => {
@@ -200,7 +200,7 @@
     }, HEAD_START_TICK_MS);
   }
 
-  private onInForce(routes: RouteMatcher, origin: string): void {
+  private onApplied(routes: RouteMatcher, origin: string): void {
     const { version, configuration } = routes;
     const { ingress, owner } = this.parts;
     this.inForceSince = this.clock.now();
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -141,7 +141,7 @@
     tellsLeaving: () => quotas.isUsed,
     timing: {
       waitMs: DIRECTORY_WAIT_MS,
-      settleMs: () => (relay.store.isFollowing ? 0 : DIRECTORY_SETTLE_MS),
+      debounceMs: () => (relay.store.isFollowing ? 0 : DIRECTORY_SETTLE_MS),
     },
     onConnected: onStore('directory'),
     onOwner: (name, change, detail) => log.event('owner', { owner: name, change, detail }),
@@ -157,7 +157,7 @@
     directory,
     broadcast,
     own: record,
-    timing: { waitMs: DIRECTORY_WAIT_MS, settleMs: () => 0 },
+    timing: { waitMs: DIRECTORY_WAIT_MS, debounceMs: () => 0 },
     onConnected: onStore('quarantines'),
     onQuarantine: ({ fingerprint, caller: from }, change, origin, crashes) =>
       log.event('quarantine', { fingerprint, caller: from, change, origin, crashes }),
@@ -208,10 +208,10 @@
     ledger,
     shares: rollouts?.shares,
     routes: () => configuration.routes,
-    mayBeBehind: () => configuration.mayBeBehind,
+    mayBeBehind: () => configuration.mayBeStale,
     isOutdated: () => {
       const { revocation } = settings();
-      return revocation?.isStrict === true && configuration.mostBehindMs > revocation.withinMs;
+      return revocation?.isStrict === true && configuration.maxStalenessMs > revocation.withinMs;
     },
     callerService: () => settings().service,
     own: record,
--- a/src/sidecar/sidecarPartsContext.ts
+++ b/src/sidecar/sidecarPartsContext.ts
@@ -15,5 +15,5 @@
   readonly log: DecisionLog;
   readonly metrics: SidecarMetrics;
   /** A configuration has come into force. */
-  readonly onInForce: (routes: RouteMatcher, origin: string) => void;
+  readonly onApplied: (routes: RouteMatcher, origin: string) => void;
 }
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -7,9 +7,9 @@
 import type { PeerCaller } from '../peer/peerCaller.js';
 import type { PeerReads } from '../peer/peerReads.js';
 import { createZoneRelay, type ZoneRelay } from '../relay/zoneRelay.js';
-import { ConfigurationFollower, type HeldVersion } from '../source/configuration-follower.js';
+import { ConfigurationFollower, type PeerVersion } from '../source/configuration-follower.js';
+import { createDependencyLoader } from '../source/dependencyLoader.js';
 import { ObservedStore } from '../source/observed-store.js';
-import { createSupplier } from '../source/supplier.js';
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
 import { createZoneMembership } from './zoneMembership.js';
 
@@ -64,15 +64,15 @@
 }
 
 export function createConfigurationPart(context: ConfigurationPartContext): ConfigurationFollower {
-  const { settings, outside, clocks, log, relay, directory, caller, onInForce, onConnected } =
+  const { settings, outside, clocks, log, relay, directory, caller, onApplied, onConnected } =
     context;
-  const askVersions = async (): Promise<HeldVersion[]> => {
+  const fetchPeerVersions = async (): Promise<PeerVersion[]> => {
     const { node } = settings();
     const others = directory.all().filter(({ isLocal }) => !isLocal);
     const byName = new Map(others.map(({ record }) => [record.node, record.address]));
     // Ranked by the own name: nodes that start together ask different ones.
     const asked = rankNames(node, [...byName.keys()]).slice(0, ASKED_AT_START);
-    const held = asked.map(async (name): Promise<HeldVersion> => {
+    const held = asked.map(async (name): Promise<PeerVersion> => {
       const address = byName.get(name) ?? '';
       const report = await caller.status(address, VERSION_PATIENCE_MS);
       return { address, version: report?.version ?? 0 };
@@ -82,22 +82,23 @@
   return new ConfigurationFollower({
     clock: clocks.freshnessClock,
     store: relay.store,
-    provenAt: () => relay.store.answeredAt,
+    storeReachableAt: () => relay.store.answeredAt,
     kind: outside.configurationKind,
     name: outside.configurationName,
-    applyMs: settings().configurationApplyMs,
-    settleMs: () => relay.settleMs(),
+    applyDeadlineMs: settings().configurationApplyMs,
+    debounceMs: () => relay.settleMs(),
     decode: outside.decodeConfiguration,
     decodeBytes: outside.decodeConfigurationBytes,
-    askPeer: (address) => caller.configuration(address, PEER_CONFIGURATION_TIMEOUT_MS),
-    askVersions,
+    fetchFromPeer: (address) => caller.configuration(address, PEER_CONFIGURATION_TIMEOUT_MS),
+    fetchPeerVersions,
     onConnected,
-    onInForce,
-    onHeldOff: (version, origin, findings) =>
+    onApplied,
+    onRejected: (version, origin, findings) =>
       log.event('configuration-held-off', { version, origin, findings }),
-    onShort: (version, shortage) => log.event('configuration-waits', { version, ...shortage }),
+    onDependenciesMissing: (version, shortage) =>
+      log.event('configuration-waits', { version, ...shortage }),
     onUnreadable: (revision) => log.event('configuration-unreadable', { revision }),
-    supplier: createSupplier({
+    dependencyLoader: createDependencyLoader({
       store: relay.store,
       loadPolicyCompiler: outside.loadPolicyCompiler,
     }),
--- a/src/source/collection-watcher.ts
+++ b/src/source/collection-watcher.ts
@@ -4,7 +4,12 @@
  * storm the store.
  */
 import { monotonicClock } from '../model/clock.js';
-import { type ObjectStore, Reading, type StoredObject, type StoreError } from './object-store.js';
+import {
+  type ObjectStore,
+  ReadConsistency,
+  type StoredObject,
+  type StoreError,
+} from './object-store.js';
 
 /** Receives what a watcher learns, in order. */
 export interface CollectionHandler<Spec> {
@@ -18,7 +23,7 @@
    */
   onConnected(connected: boolean, detail: string, cause?: string): void;
   /** What was given so far is all that there is now. */
-  onCurrent?(): void;
+  onUpToDate?(): void;
 }
 
 /** What is followed, and its time limits in milliseconds. */
@@ -27,11 +32,11 @@
    * Name of the only object of the kind, if it has just one. A watch gives every step between two
    * versions, each whole; who has fallen behind reads the newest version alone instead.
    */
-  readonly only?: string;
+  readonly singletonName?: string;
   /** Longest wait of one watch. */
   readonly waitMs: number;
   /** Pause after a watch that brought changes, so that quick changes come together. */
-  readonly settleMs: () => number;
+  readonly debounceMs: () => number;
 }
 
 const FIRST_BACKOFF_MS = 150;
@@ -55,7 +60,7 @@
   private connected: boolean | undefined;
   private backoffMs = FIRST_BACKOFF_MS;
   /** Revision of the newest version of the only object. */
-  private onlyRevision = 0;
+  private singletonRevision = 0;
   /** True from a watch that brought several versions of it until a read that finds no newer one. */
   private isBehind = false;
   /**
@@ -67,7 +72,7 @@
    * True while all that is known comes from a list that may lag: that may be of before the store came back from
    * a copy, and then of a revision that it doesn't have any more.
    */
-  private isUnproven = false;
+  private isListUnconfirmed = false;
   private wake: () => void = () => {};
   private refreshWanted = false;
 
@@ -119,13 +124,15 @@
     if (this.revision === undefined) {
       return this.list();
     }
-    const { only } = this.timing;
-    return this.isBehind && only !== undefined ? this.readOnly(only) : this.watch();
+    const { singletonName } = this.timing;
+    return this.isBehind && singletonName !== undefined
+      ? this.readSingleton(singletonName)
+      : this.watch();
   }
 
   private async list(): Promise<StoreError | undefined> {
     // The first list may lag: the watch from its revision brings what came since.
-    const reading = this.newest === 0 ? Reading.Lately : Reading.Now;
+    const reading = this.newest === 0 ? ReadConsistency.BoundedStaleness : ReadConsistency.Strong;
     const result = await this.store.list<Spec>(this.kind, reading);
     if (this.stopped) {
       return undefined;
@@ -134,25 +141,25 @@
       return result;
     }
     if (result.value.revision < this.newest) {
-      if (!this.isUnproven) {
+      if (!this.isListUnconfirmed) {
         return lagging(result.value.revision, this.newest);
       }
-      this.onlyRevision = 0;
+      this.singletonRevision = 0;
     }
     this.note(true, 'list');
     this.revision = result.value.revision;
     this.newest = result.value.revision;
-    this.isListFresh = reading === Reading.Now;
-    this.isUnproven = reading === Reading.Lately;
+    this.isListFresh = reading === ReadConsistency.Strong;
+    this.isListUnconfirmed = reading === ReadConsistency.BoundedStaleness;
     for (const { revision } of result.value.items) {
-      this.onlyRevision = Math.max(this.onlyRevision, revision);
+      this.singletonRevision = Math.max(this.singletonRevision, revision);
     }
     this.handler.onList(result.value.items, result.value.revision);
     return undefined;
   }
 
   /** One read in place of all the steps since: in a storm each of them would come whole. */
-  private async readOnly(name: string): Promise<StoreError | undefined> {
+  private async readSingleton(name: string): Promise<StoreError | undefined> {
     const result = await this.store.get<Spec>(this.kind, name);
     if (this.stopped) {
       return undefined;
@@ -161,15 +168,15 @@
       return result;
     }
     this.note(true, 'get');
-    if (!result.ok || result.value.revision <= this.onlyRevision) {
+    if (!result.ok || result.value.revision <= this.singletonRevision) {
       this.isBehind = false;
       return undefined;
     }
-    this.onlyRevision = result.value.revision;
-    this.newest = Math.max(this.newest, this.onlyRevision);
+    this.singletonRevision = result.value.revision;
+    this.newest = Math.max(this.newest, this.singletonRevision);
     this.revision = this.newest;
     this.handler.onChange(result.value, false, result.value.revision);
-    await this.pause(this.timing.settleMs());
+    await this.pause(this.timing.debounceMs());
     return undefined;
   }
 
@@ -184,22 +191,22 @@
     }
     this.note(true, 'watch');
     this.isListFresh = false;
-    this.isUnproven = false;
+    this.isListUnconfirmed = false;
     this.newest = Math.max(this.newest, result.value.revision);
     this.revision = this.newest;
     const { events, revision } = result.value;
-    const { only } = this.timing;
-    const last = events.findLastIndex(({ object }) => object.name === only);
+    const { singletonName } = this.timing;
+    const last = events.findLastIndex(({ object }) => object.name === singletonName);
     this.isBehind = last > 0;
     events.forEach(({ object, gone }, index) => {
       // Steps that are out of date already are not worth being taken one by one.
-      if (object.name !== only || index === last) {
-        this.onlyRevision = Math.max(this.onlyRevision, object.revision);
+      if (object.name !== singletonName || index === last) {
+        this.singletonRevision = Math.max(this.singletonRevision, object.revision);
         this.handler.onChange(object, gone, revision);
       }
     });
     if (events.length > 0) {
-      await this.pause(this.timing.settleMs());
+      await this.pause(this.timing.debounceMs());
     }
     return undefined;
   }
@@ -207,7 +214,7 @@
   private note(connected: boolean, detail: string, cause?: string): void {
     if (connected) {
       this.backoffMs = FIRST_BACKOFF_MS;
-      this.handler.onCurrent?.();
+      this.handler.onUpToDate?.();
     }
     if (connected !== this.connected) {
       this.connected = connected;
--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -9,12 +9,12 @@
 import type { RouteMatcher } from '../routing/route-matcher.js';
 import { type CollectionHandler, CollectionWatcher } from './collection-watcher.js';
 import {
+  type ApplyResult,
   type ConfigurationCandidate,
   ConfigurationHolder,
-  type OfferResult,
 } from './configuration-holder.js';
+import type { DependencyLoader } from './dependencyLoader.js';
 import type { ObjectStore, StoredObject } from './object-store.js';
-import type { Supplier } from './supplier.js';
 
 /** Longest wait of a watch, in milliseconds: a store that is out of reach is noticed otherwise. */
 const WAIT_MS = 12_000;
@@ -24,7 +24,7 @@
  * own watch: longer than the watch settles, so that a watch that works is not
  * doubled by a list.
  */
-const PATIENCE_SHARE = 0.5;
+const WATCH_GRACE_SHARE = 0.5;
 
 /**
  * Part of the bound for which the store is then waited for, before the other node is asked: together
@@ -48,7 +48,7 @@
 const READER_SHARE = 0.5;
 
 /** The version that another node holds. */
-export interface HeldVersion {
+export interface PeerVersion {
   readonly address: string;
   readonly version: number;
 }
@@ -61,25 +61,25 @@
   readonly kind: string;
   readonly name: string;
   /** Longest time, in milliseconds, from a version's acknowledgement until it is in force. */
-  readonly applyMs: number;
+  readonly applyDeadlineMs: number;
   /** Milliseconds within which changes that come together are taken together. */
-  readonly settleMs: () => number;
+  readonly debounceMs: () => number;
   /** Translates a stored configuration; undefined when it cannot be read. */
   readonly decode: (spec: unknown) => ConfigurationCandidate | undefined;
   readonly decodeBytes: (bytes: Buffer) => ConfigurationCandidate | undefined;
   /** Asks another node for its configuration. */
-  readonly askPeer: (address: string) => Promise<Buffer | undefined>;
+  readonly fetchFromPeer: (address: string) => Promise<Buffer | undefined>;
   /** Asks some other nodes which versions they hold, for a moment; left out where there are none to ask. */
-  readonly askVersions?: () => Promise<readonly HeldVersion[]>;
+  readonly fetchPeerVersions?: () => Promise<readonly PeerVersion[]>;
   /** Steady time in milliseconds at which the store was last shown to be within reach. */
-  readonly provenAt: () => number;
+  readonly storeReachableAt: () => number;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
-  readonly onInForce: (routes: RouteMatcher, origin: string) => void;
-  readonly onHeldOff: (version: number, origin: string, findings: readonly Finding[]) => void;
+  readonly onApplied: (routes: RouteMatcher, origin: string) => void;
+  readonly onRejected: (version: number, origin: string, findings: readonly Finding[]) => void;
   /** A version waits for policies or secrets. */
-  readonly onShort: (version: number, shortage: Shortage) => void;
+  readonly onDependenciesMissing: (version: number, shortage: Shortage) => void;
   readonly onUnreadable: (revision: number) => void;
-  readonly supplier: Supplier;
+  readonly dependencyLoader: DependencyLoader;
 }
 
 /** One per node. */
@@ -88,13 +88,13 @@
   private readonly watcher: CollectionWatcher<unknown>;
   private fetchingVersion = 0;
   /** Newest version that any node has spoken of. */
-  private heardVersion = 0;
+  private newestKnownVersion = 0;
   /** Steady time in milliseconds at which the version held was the newest. */
-  private currentAt = Number.NEGATIVE_INFINITY;
+  private confirmedAt = Number.NEGATIVE_INFINITY;
   private isStopped = false;
 
   /** Newest version that was found short. */
-  private suppliedVersion = 0;
+  private newestIncompleteVersion = 0;
 
   constructor(private readonly options: ConfigurationFollowerOptions) {
     this.watcher = new CollectionWatcher<unknown>(
@@ -105,22 +105,22 @@
           for (const object of objects) {
             const candidate = this.read(object);
             if (candidate) {
-              void this.offerListed(candidate);
+              void this.applyListed(candidate);
             }
           }
         },
         onChange: (object, gone) => {
           const candidate = gone ? undefined : this.read(object);
           if (candidate) {
-            this.offer(candidate, 'store');
+            this.apply(candidate, 'store');
           }
         },
         onConnected: options.onConnected,
-        onCurrent: () => {
-          this.currentAt = options.clock.now();
+        onUpToDate: () => {
+          this.confirmedAt = options.clock.now();
         },
       },
-      { only: options.name, waitMs: WAIT_MS, settleMs: options.settleMs },
+      { singletonName: options.name, waitMs: WAIT_MS, debounceMs: options.debounceMs },
     );
   }
 
@@ -141,22 +141,25 @@
    * True when there may be a newer version that this node does not hold yet: another node has spoken
    * of it, or nothing was heard for a while. Then the lack of a route proves nothing.
    */
-  get mayBeBehind(): boolean {
+  get mayBeStale(): boolean {
     return (
-      this.heardVersion > this.version || this.unheardMs > this.options.applyMs * CURRENT_SHARE
+      this.newestKnownVersion > this.version ||
+      this.unconfirmedMs > this.options.applyDeadlineMs * CURRENT_SHARE
     );
   }
 
   /** Milliseconds for which the version held may not have been the store's newest; infinite at first. */
-  get mostBehindMs(): number {
-    return this.unheardMs + this.options.applyMs * READER_SHARE;
+  get maxStalenessMs(): number {
+    return this.unconfirmedMs + this.options.applyDeadlineMs * READER_SHARE;
   }
 
   /** Milliseconds since it was last heard that the version held is the newest. */
-  private get unheardMs(): number {
-    const { clock, provenAt } = this.options;
+  private get unconfirmedMs(): number {
+    const { clock, storeReachableAt } = this.options;
     // A store within reach says nothing of the version held while this node's watch of it does not stand.
-    const heardAt = this.isConnected ? Math.max(this.currentAt, provenAt()) : this.currentAt;
+    const heardAt = this.isConnected
+      ? Math.max(this.confirmedAt, storeReachableAt())
+      : this.confirmedAt;
     return clock.now() - heardAt;
   }
 
@@ -176,7 +179,7 @@
 
   /** Another node holds this version: if it is newer, the store is asked first, that node soon after. */
   noteVersion(address: string, version: number): void {
-    this.heardVersion = Math.max(this.heardVersion, version);
+    this.newestKnownVersion = Math.max(this.newestKnownVersion, version);
     if (version > this.version && version > this.fetchingVersion) {
       this.fetchingVersion = version;
       void this.fetch(address, version).finally(() => {
@@ -187,7 +190,7 @@
 
   private async fetch(address: string, version: number): Promise<void> {
     if (this.routes && this.isConnected) {
-      await delay(this.options.applyMs * PATIENCE_SHARE);
+      await delay(this.options.applyDeadlineMs * WATCH_GRACE_SHARE);
     }
     if (this.version >= version || this.isStopped) {
       return;
@@ -195,16 +198,16 @@
     if (this.isConnected) {
       await Promise.race([
         this.watcher.refresh(),
-        delay(this.options.applyMs * REFRESH_SHARE, undefined, { ref: false }),
+        delay(this.options.applyDeadlineMs * REFRESH_SHARE, undefined, { ref: false }),
       ]);
     }
     if (this.version >= version || this.isStopped) {
       return;
     }
-    const bytes = await this.options.askPeer(address);
+    const bytes = await this.options.fetchFromPeer(address);
     const candidate = bytes && this.options.decodeBytes(bytes);
     if (candidate) {
-      this.offer(candidate, address);
+      this.apply(candidate, address);
     }
   }
 
@@ -223,63 +226,63 @@
    * A store that has come back from a copy may list an older version than was acknowledged. A node that holds
    * none yet would take it, and so go back by its restart: it asks others first.
    */
-  private async offerListed(candidate: ConfigurationCandidate): Promise<void> {
-    if (!this.routes && (await this.takeNewer(candidate.version))) {
+  private async applyListed(candidate: ConfigurationCandidate): Promise<void> {
+    if (!this.routes && (await this.applyNewerFromPeer(candidate.version))) {
       return;
     }
     if (!this.isStopped) {
-      this.offer(candidate, 'store');
+      this.apply(candidate, 'store');
     }
   }
 
   /** True if another node holds a newer version, and that is used. */
-  private async takeNewer(version: number): Promise<boolean> {
-    const held = (await this.options.askVersions?.()) ?? [];
+  private async applyNewerFromPeer(version: number): Promise<boolean> {
+    const held = (await this.options.fetchPeerVersions?.()) ?? [];
     const [newest] = held.toSorted((left, right) => right.version - left.version);
     if (!newest || newest.version <= version) {
       return false;
     }
-    const bytes = await this.options.askPeer(newest.address);
+    const bytes = await this.options.fetchFromPeer(newest.address);
     const candidate = bytes && this.options.decodeBytes(bytes);
-    const kind = candidate && !this.isStopped && this.offer(candidate, newest.address);
+    const kind = candidate && !this.isStopped && this.apply(candidate, newest.address);
     return kind === 'in-force' || kind === 'short';
   }
 
-  private offer(candidate: ConfigurationCandidate, origin: string): OfferResult['kind'] {
-    const result = this.holder.offer(candidate, this.options.supplier.supplies);
-    this.noteOffer(result, origin);
-    if (result.kind === 'short' && result.version > this.suppliedVersion) {
-      this.suppliedVersion = result.version;
-      this.options.onShort(result.version, result.shortage);
-      void this.supplyAndOffer(candidate, origin);
+  private apply(candidate: ConfigurationCandidate, origin: string): ApplyResult['kind'] {
+    const result = this.holder.apply(candidate, this.options.dependencyLoader.dependencies);
+    this.reportResult(result, origin);
+    if (result.kind === 'short' && result.version > this.newestIncompleteVersion) {
+      this.newestIncompleteVersion = result.version;
+      this.options.onDependenciesMissing(result.version, result.shortage);
+      void this.loadAndApply(candidate, origin);
     }
     return result.kind;
   }
 
-  private noteOffer(result: OfferResult, origin: string): void {
+  private reportResult(result: ApplyResult, origin: string): void {
     if (result.kind === 'in-force' && this.holder.routes) {
-      this.options.onInForce(this.holder.routes, origin);
+      this.options.onApplied(this.holder.routes, origin);
     } else if (result.kind === 'held-off') {
-      this.options.onHeldOff(result.version, origin, result.findings.slice(0, MAX_FINDINGS));
+      this.options.onRejected(result.version, origin, result.findings.slice(0, MAX_FINDINGS));
     }
   }
 
   /** Fetches what a version lacks and offers it again, until it is in force or out of date. */
-  private async supplyAndOffer(candidate: ConfigurationCandidate, origin: string): Promise<void> {
-    const { supplier } = this.options;
+  private async loadAndApply(candidate: ConfigurationCandidate, origin: string): Promise<void> {
+    const { dependencyLoader } = this.options;
     let isFetched = false;
     for (;;) {
-      const result = this.holder.offer(candidate, supplier.supplies);
+      const result = this.holder.apply(candidate, dependencyLoader.dependencies);
       if (result.kind !== 'short') {
-        this.noteOffer(result, origin);
+        this.reportResult(result, origin);
         return;
       }
       if (isFetched) {
         await delay(SHORT_RETRY_MS);
       }
-      await supplier.fetch(result.shortage);
+      await dependencyLoader.load(result.shortage);
       isFetched = true;
-      const isOutdated = candidate.version < this.suppliedVersion;
+      const isOutdated = candidate.version < this.newestIncompleteVersion;
       if (this.isStopped || isOutdated) {
         return;
       }
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -22,7 +22,7 @@
 }
 
 /** What became of a candidate. */
-export type OfferResult =
+export type ApplyResult =
   | { readonly kind: 'in-force'; readonly version: number }
   | { readonly kind: 'not-newer' }
   | { readonly kind: 'held-off'; readonly version: number; readonly findings: readonly Finding[] }
@@ -33,7 +33,7 @@
 export class ConfigurationHolder {
   private matcher: RouteMatcher | undefined;
   private held: ConfigurationCandidate | undefined;
-  private refusedVersion = 0;
+  private rejectedVersion = 0;
   private readonly check = createConfigurationCheck();
 
   /** The routes in force, or undefined before the first configuration. */
@@ -51,12 +51,12 @@
   }
 
   /** Takes a candidate if it is newer than what is held. */
-  offer(offered: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): OfferResult {
-    if (!(offered.version > Math.max(this.version, this.refusedVersion))) {
+  apply(offered: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): ApplyResult {
+    if (!(offered.version > Math.max(this.version, this.rejectedVersion))) {
       return { kind: 'not-newer' };
     }
-    return this.check(offered.candidate).caseOf<OfferResult>({
-      Left: (findings) => this.holdOff(offered.version, findings),
+    return this.check(offered.candidate).caseOf<ApplyResult>({
+      Left: (findings) => this.reject(offered.version, findings),
       Right: (configuration) => this.complete(offered, configuration, supplies),
     });
   }
@@ -65,14 +65,14 @@
     offered: ConfigurationCandidate,
     configuration: MeshConfiguration,
     supplies: Supplies,
-  ): OfferResult {
+  ): ApplyResult {
     const { version } = offered;
     const completion = completeConfiguration(configuration, supplies);
     switch (completion.kind) {
       case 'short':
         return { kind: 'short', version, shortage: completion.shortage };
       case 'faulty':
-        return this.holdOff(version, completion.findings);
+        return this.reject(version, completion.findings);
       default:
         this.matcher = new RouteMatcher(configuration, this.matcher, completion.complements);
         this.held = offered;
@@ -80,8 +80,8 @@
     }
   }
 
-  private holdOff(version: number, findings: readonly Finding[]): OfferResult {
-    this.refusedVersion = version;
+  private reject(version: number, findings: readonly Finding[]): ApplyResult {
+    this.rejectedVersion = version;
     return { kind: 'held-off', version, findings };
   }
 }
--- a/src/source/supplier.ts
+++ b/src/source/dependencyLoader.ts
@@ -3,7 +3,7 @@
  * takes tens of milliseconds and megabytes to load, and the values of secrets.
  */
 import type { PolicyCompiler, Shortage, Supplies } from '../routing/completeConfiguration.js';
-import { type ObjectStore, Reading } from './object-store.js';
+import { type ObjectStore, ReadConsistency } from './object-store.js';
 
 /** Kind of the objects that hold secrets. */
 export const SECRET_KIND = 'spindlepaddle-secrets';
@@ -14,23 +14,26 @@
 }
 
 /** What is needed of the node. */
-export interface SupplierContext {
+export interface DependencyLoaderContext {
   readonly store: ObjectStore;
   readonly loadPolicyCompiler: () => Promise<PolicyCompiler>;
 }
 
-export interface Supplier {
+export interface DependencyLoader {
   /** What has been fetched so far. */
-  readonly supplies: Supplies;
+  readonly dependencies: Supplies;
   /** Fetches what is missing, as far as it is to be had now. */
-  fetch(shortage: Shortage): Promise<void>;
+  load(shortage: Shortage): Promise<void>;
 }
 
-export function createSupplier({ store, loadPolicyCompiler }: SupplierContext): Supplier {
+export function createDependencyLoader({
+  store,
+  loadPolicyCompiler,
+}: DependencyLoaderContext): DependencyLoader {
   let compilePolicy: PolicyCompiler | undefined;
   let secrets: ReadonlyMap<string, string> = new Map();
   const listSecrets = async (): Promise<void> => {
-    const listed = await store.list<Partial<SecretObject>>(SECRET_KIND, Reading.Now);
+    const listed = await store.list<Partial<SecretObject>>(SECRET_KIND, ReadConsistency.Strong);
     if (listed.ok) {
       secrets = new Map(
         listed.value.items.flatMap(({ name, spec }) =>
@@ -40,10 +43,10 @@
     }
   };
   return {
-    get supplies() {
+    get dependencies() {
       return { compilePolicy, secrets };
     },
-    fetch: async ({ needsPolicies, secrets: names }) => {
+    load: async ({ needsPolicies, secrets: names }) => {
       if (needsPolicies) {
         compilePolicy = await loadPolicyCompiler();
       }
--- a/src/source/eraGuard.test.ts
+++ b/src/source/eraGuard.test.ts
@@ -17,7 +17,7 @@
   const guard = createEraGuard({
     clock,
     store: view,
-    onRise: (era, before) => rises.push([era, before]),
+    onEraIncrease: (era, before) => rises.push([era, before]),
   });
   view.onEra = guard.noteEra;
   store.put(KIND, 'first', { of: 'the first era' });
--- a/src/source/eraGuard.ts
+++ b/src/source/eraGuard.ts
@@ -43,7 +43,7 @@
   readonly clock: Clock;
   readonly store: ObjectStore;
   /** The store has come back from a copy; not called for the first era that is heard of. */
-  readonly onRise?: (era: number, before: number) => void;
+  readonly onEraIncrease?: (era: number, before: number) => void;
 }
 
 /** The store, and the newest era that it has told. */
@@ -53,7 +53,7 @@
   noteEra(era: number): void;
 }
 
-export function createEraGuard({ clock, store, onRise }: EraGuardContext): EraGuard {
+export function createEraGuard({ clock, store, onEraIncrease }: EraGuardContext): EraGuard {
   let era: number | undefined;
   let answeredAt = Number.NEGATIVE_INFINITY;
 
@@ -98,7 +98,7 @@
         era = next;
       }
       if (before !== undefined && next > before) {
-        onRise?.(next, before);
+        onEraIncrease?.(next, before);
       }
     },
     list: (kind, reading) => heard(store.list(kind, reading)),
--- a/src/source/object-store.ts
+++ b/src/source/object-store.ts
@@ -61,7 +61,7 @@
 export type StoreResult<Value> = { readonly ok: true; readonly value: Value } | StoreError;
 
 /** A question for the changes of a kind after a revision, or for all its objects. */
-export interface StoreQuestion {
+export interface StoreQuery {
   readonly kind: string;
   /** Left out for a list. */
   readonly revision: number | undefined;
@@ -75,11 +75,11 @@
 }
 
 /** How old an answer may be. */
-export enum Reading {
+export enum ReadConsistency {
   /** As of now. */
-  Now = 'now',
+  Strong = 'now',
   /** It may be some seconds old, which costs the store little: a watch from there brings the rest. */
-  Lately = 'lately',
+  BoundedStaleness = 'lately',
 }
 
 /** Calls never reject. */
@@ -90,7 +90,7 @@
   onUnreadable?: (kind: string, reason: string) => void;
   /** Set by its user: hears the store's era with the first answer that tells it, and each time that it rises. */
   onEra?: (era: number) => void;
-  list<Spec>(kind: string, reading: Reading): Promise<StoreResult<StoreListing<Spec>>>;
+  list<Spec>(kind: string, reading: ReadConsistency): Promise<StoreResult<StoreListing<Spec>>>;
   /** One object as it is now. */
   get<Spec>(kind: string, name: string): Promise<StoreResult<StoredObject<Spec>>>;
   /** Waits up to `waitMs` for changes after a revision; a watch that is aborted fails. */
--- a/src/source/observed-store.ts
+++ b/src/source/observed-store.ts
@@ -1,7 +1,7 @@
 /** An object store whose calls are counted by operation and result. */
 import {
   type ObjectStore,
-  Reading,
+  ReadConsistency,
   type StoreChanges,
   type StoredObject,
   type StoreListing,
@@ -19,8 +19,8 @@
     private readonly observer: StoreObserver,
   ) {}
 
-  list<Spec>(kind: string, reading: Reading): Promise<StoreResult<StoreListing<Spec>>> {
-    const operation = reading === Reading.Lately ? 'list-lately' : 'list';
+  list<Spec>(kind: string, reading: ReadConsistency): Promise<StoreResult<StoreListing<Spec>>> {
+    const operation = reading === ReadConsistency.BoundedStaleness ? 'list-lately' : 'list';
     return this.observe(operation, this.store.list<Spec>(kind, reading));
   }
 
--- a/src/source/source.test.ts
+++ b/src/source/source.test.ts
@@ -26,21 +26,21 @@
 describe('ConfigurationHolder', () => {
   it('never goes back, whichever way an older version comes', () => {
     const holder = new ConfigurationHolder();
-    expect(holder.offer(candidateOf(5)).kind).toBe('in-force');
-    expect(holder.offer(candidateOf(4)).kind).toBe('not-newer');
-    expect(holder.offer(candidateOf(5)).kind).toBe('not-newer');
+    expect(holder.apply(candidateOf(5)).kind).toBe('in-force');
+    expect(holder.apply(candidateOf(4)).kind).toBe('not-newer');
+    expect(holder.apply(candidateOf(5)).kind).toBe('not-newer');
     expect(holder.version).toBe(5);
-    expect(holder.offer(candidateOf(9)).kind).toBe('in-force');
+    expect(holder.apply(candidateOf(9)).kind).toBe('in-force');
   });
 
   it('holds off a version that cannot be used whole, says so once, and keeps the last', () => {
     const holder = new ConfigurationHolder();
-    holder.offer(candidateOf(5));
-    expect(holder.offer(candidateOf(6, 'odd'))).toMatchObject({ kind: 'held-off', version: 6 });
-    expect(holder.offer(candidateOf(6, 'odd')).kind).toBe('not-newer');
+    holder.apply(candidateOf(5));
+    expect(holder.apply(candidateOf(6, 'odd'))).toMatchObject({ kind: 'held-off', version: 6 });
+    expect(holder.apply(candidateOf(6, 'odd')).kind).toBe('not-newer');
     expect(holder.version).toBe(5);
     expect(holder.routes?.match('a.example', '/a/1')).toBeDefined();
-    expect(holder.offer(candidateOf(7)).kind).toBe('in-force');
+    expect(holder.apply(candidateOf(7)).kind).toBe('in-force');
   });
 });
 
@@ -140,7 +140,7 @@
       onChange: ({ revision }) => seen.push(revision),
       onConnected: () => {},
     },
-    { only: 'main', waitMs: 1_000, settleMs: () => 1 },
+    { singletonName: 'main', waitMs: 1_000, debounceMs: () => 1 },
   );
   void watcher.run();
   await vi.waitFor(() => expect(calls).toHaveLength(5));
@@ -161,7 +161,7 @@
       onChange: (object) => seen.push(`change ${object.name}`),
       onConnected: (connected) => seen.push(connected ? 'connected' : 'lost'),
     },
-    { waitMs: 1_000, settleMs: () => 1 },
+    { waitMs: 1_000, debounceMs: () => 1 },
     () => 0,
   );
   void watcher.run();
@@ -228,7 +228,7 @@
     },
   } as unknown as ObjectStore;
   const handler = { onList: () => {}, onChange: () => {}, onConnected: () => {} };
-  const timing = { waitMs: 1_000, settleMs: () => 0 };
+  const timing = { waitMs: 1_000, debounceMs: () => 0 };
   const watcher = new CollectionWatcher(store, 'routes', handler, timing, () => 0.5);
   void watcher.run();
   await vi.advanceTimersByTimeAsync(10_000);
@@ -249,7 +249,7 @@
     watch: async () => ({ ok: false, failure: 'history-gone', detail: '410' }),
   } as unknown as ObjectStore;
   const handler = { onList: () => {}, onChange: () => {}, onConnected: () => {} };
-  const timing = { waitMs: 1_000, settleMs: () => 0 };
+  const timing = { waitMs: 1_000, debounceMs: () => 0 };
   const watcher = new CollectionWatcher(store, 'routes', handler, timing, () => 0.5);
   void watcher.run();
   await vi.advanceTimersByTimeAsync(3_000);
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -9,7 +9,7 @@
   type ConfigurationFollowerOptions,
 } from '../src/source/configuration-follower.js';
 import type { ConfigurationCandidate } from '../src/source/configuration-holder.js';
-import { createSupplier } from '../src/source/supplier.js';
+import { createDependencyLoader } from '../src/source/dependencyLoader.js';
 
 const APPLY_MS = 400;
 
@@ -32,24 +32,24 @@
 ): ConfigurationFollower {
   follower = new ConfigurationFollower({
     clock: monotonicClock,
-    provenAt: () => Number.NEGATIVE_INFINITY,
+    storeReachableAt: () => Number.NEGATIVE_INFINITY,
     store: view,
     kind: 'config',
     name: 'main',
-    applyMs: APPLY_MS,
-    settleMs: () => APPLY_MS * 0.35,
+    applyDeadlineMs: APPLY_MS,
+    debounceMs: () => APPLY_MS * 0.35,
     decode: (spec) => candidateOf((spec as { version: number }).version),
     decodeBytes: (bytes) => candidateOf(Number(bytes.toString())),
-    askPeer: (address) => {
+    fetchFromPeer: (address) => {
       askedPeers.push(address);
       return Promise.resolve(Buffer.from('9'));
     },
     onConnected: () => {},
-    onInForce: () => {},
-    onHeldOff: () => {},
-    onShort: () => {},
+    onApplied: () => {},
+    onRejected: () => {},
+    onDependenciesMissing: () => {},
     onUnreadable: () => {},
-    supplier: createSupplier({
+    dependencyLoader: createDependencyLoader({
       store: view,
       loadPolicyCompiler: () => Promise.resolve(compilePolicy),
     }),
@@ -81,14 +81,14 @@
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const node = follow(new StoreView(store), []);
-  expect(node.mayBeBehind).toBe(true);
+  expect(node.mayBeStale).toBe(true);
   await waitFor(() => node.version === 1);
-  expect(node.mayBeBehind).toBe(false);
+  expect(node.mayBeStale).toBe(false);
   node.noteVersion('10.0.0.2:1', 2);
-  expect(node.mayBeBehind).toBe(true);
+  expect(node.mayBeStale).toBe(true);
   store.put('config', 'main', { version: 2 });
   await waitFor(() => node.version === 2);
-  expect(node.mayBeBehind).toBe(false);
+  expect(node.mayBeStale).toBe(false);
 });
 
 it('may be behind when it has heard nothing for most of the bound', async () => {
@@ -97,7 +97,7 @@
   const node = follow(new StoreView(store), []);
   await waitFor(() => node.version === 1);
   await new Promise((resolve) => setTimeout(resolve, APPLY_MS * 0.85));
-  expect(node.mayBeBehind).toBe(true);
+  expect(node.mayBeStale).toBe(true);
 });
 
 it('takes a version from another node within the bound when its watch stays silent', async () => {
@@ -144,7 +144,7 @@
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const node = follow(view, [], { provenAt: () => monotonicClock.now() });
+  const node = follow(view, [], { storeReachableAt: () => monotonicClock.now() });
   const old = store.revision;
   await waitFor(() => node.version === 1 && node.isConnected);
   store.put('config', 'other', {});
@@ -153,7 +153,7 @@
   store.put('others', 'other', {});
   store.compact();
   await waitFor(() => !node.isConnected);
-  await waitFor(() => node.mayBeBehind);
+  await waitFor(() => node.mayBeStale);
 });
 
 it.each([
@@ -165,9 +165,9 @@
   const askedPeers: string[] = [];
   const versions: number[] = [];
   const node = follow(new StoreView(store), askedPeers, {
-    askVersions: () =>
+    fetchPeerVersions: () =>
       Promise.resolve(held.map((each, index) => ({ address: `node-${index + 1}`, version: each }))),
-    onInForce: (routes) => versions.push(routes.version),
+    onApplied: (routes) => versions.push(routes.version),
   });
   await waitFor(() => node.version > 0);
   await new Promise((resolve) => setTimeout(resolve, APPLY_MS));
