--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -9,7 +9,7 @@
   type HealthReport,
   type Heartbeat,
 } from '../registry/back-end-registry.js';
-import { type BackEndLife, isSameLife } from '../registry/backEndLife.js';
+import { type BackEndIncarnation, isSameIncarnation } from '../registry/backEndIncarnation.js';
 import type { HeaderNames } from './header-names.js';
 import { askHealth } from './health-question.js';
 import type { NotRunReason } from './owner.js';
@@ -42,7 +42,7 @@
 /** Hears of the back end's comings and goings. */
 export interface BackEndPresenceListener {
   /** Another life of the back end, or another back end, is there; called before the others. */
-  onNewLife(life: BackEndLife): void;
+  onNewLife(life: BackEndIncarnation): void;
   /** Another life, or other slots: work may be sent. */
   onReady(backEnd: BackEnd): void;
   /** Tasks that wait must not be sent any more. */
@@ -119,19 +119,19 @@
   }
 
   /** Takes a deregistration; it is fenced before this returns. */
-  deregister(life: BackEndLife): void {
+  deregister(life: BackEndIncarnation): void {
     this.registry.deregister(life);
   }
 
   /** Nothing listened at the address of this life; a later one may be there already. */
-  noteUnreachable(life: BackEndLife): void {
+  noteUnreachable(life: BackEndIncarnation): void {
     if (this.isPresent(life)) {
       this.setReachable(false);
     }
   }
 
-  private isPresent(life: BackEndLife): boolean {
-    return this.backEnd !== undefined && isSameLife(life, this.backEnd);
+  private isPresent(life: BackEndIncarnation): boolean {
+    return this.backEnd !== undefined && isSameIncarnation(life, this.backEnd);
   }
 
   private setReachable(reachable: boolean): void {
@@ -170,15 +170,16 @@
 
   /** Asks the back end who it is while that is not known. */
   askIfNeeded(): void {
-    const { unverified } = this.registry;
-    const isKnown = this.backEnd !== undefined && !this.unreachable && unverified === undefined;
-    const service = unverified?.service ?? this.options.service();
+    const { pendingHeartbeat } = this.registry;
+    const isKnown =
+      this.backEnd !== undefined && !this.unreachable && pendingHeartbeat === undefined;
+    const service = pendingHeartbeat?.service ?? this.options.service();
     const path = this.options.healthPath(service);
     if (isKnown || this.asking || path === undefined) {
       return;
     }
     this.asking = true;
-    const address = unverified?.address ?? this.options.backEndAddress();
+    const address = pendingHeartbeat?.address ?? this.options.backEndAddress();
     void askHealth(address, path, this.options.names)
       .then((report) => {
         if (report) {
@@ -195,7 +196,7 @@
       this.setReachable(true);
       return;
     }
-    const wasAnnounced = report.instance === this.registry.unverified?.instance;
+    const wasAnnounced = report.instance === this.registry.pendingHeartbeat?.instance;
     if (this.backEnd && !wasAnnounced) {
       // The address may have gone to another service: only a heartbeat can tell.
       return;
@@ -210,6 +211,6 @@
       version: undefined,
       bornAt: undefined,
     } as const;
-    this.registry.verified(report, fallback);
+    this.registry.confirmReady(report, fallback);
   }
 }
--- a/src/owner/backEndRun.ts
+++ b/src/owner/backEndRun.ts
@@ -1,6 +1,6 @@
 /** What the end of a call says of the back end that ran it, as a roll-out counts it. */
 import type { BackEnd } from '../registry/back-end-registry.js';
-import { isSameLife } from '../registry/backEndLife.js';
+import { isSameIncarnation } from '../registry/backEndIncarnation.js';
 import { type BackEndRun, RunEnd } from '../rollout/runCounts.js';
 import type { OwnerOutcome, OwnerTask } from './owner.js';
 
@@ -22,7 +22,7 @@
 /** Undefined for a call that says nothing of the back end's version. */
 export function backEndRunOf(call: EndedCall): BackEndRun | undefined {
   const { task, present, outcome, tookMs, now } = call;
-  const backEnd = present && isSameLife(present, call.backEnd) ? present : call.backEnd;
+  const backEnd = present && isSameIncarnation(present, call.backEnd) ? present : call.backEnd;
   const end = runEndOf(outcome);
   return end === undefined
     ? undefined
--- a/src/owner/crashWatch.test.ts
+++ b/src/owner/crashWatch.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import type { BackEndLife } from '../registry/backEndLife.js';
+import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import { createCrashWatch } from './crashWatch.js';
 import type { OwnerOutcome } from './owner.js';
 
@@ -7,7 +7,7 @@
 const LEFT: OwnerOutcome = { kind: 'unknown', reason: 'cancelled' };
 const TURNED_AWAY: OwnerOutcome = { kind: 'not-run', reason: 'busy', arrived: true };
 
-function lifeOf(instance: string, bornAt?: number): BackEndLife {
+function lifeOf(instance: string, bornAt?: number): BackEndIncarnation {
   return { instance, bornAt };
 }
 
--- a/src/owner/crashWatch.ts
+++ b/src/owner/crashWatch.ts
@@ -8,7 +8,7 @@
 import type { Clock } from '../model/clock.js';
 import { endpointOf } from '../model/endpoint.js';
 import type { RequestUnderWay } from '../quarantine/crashLedger.js';
-import { type BackEndLife, isSameLife } from '../registry/backEndLife.js';
+import { type BackEndIncarnation, isSameIncarnation } from '../registry/backEndIncarnation.js';
 import type { OwnerOutcome } from './owner.js';
 
 /** A port on the same machine takes or refuses a connection within this time, in milliseconds. */
@@ -30,7 +30,7 @@
 export interface CrashWatchContext {
   readonly clock: Clock;
   /** A life has ended in a crash while these requests, and no others, were under way. */
-  readonly onCrash: (life: BackEndLife, underWay: readonly RequestUnderWay[]) => void;
+  readonly onCrash: (life: BackEndIncarnation, underWay: readonly RequestUnderWay[]) => void;
   /** True if something listens at an address; for tests. */
   readonly listens?: (address: string) => Promise<boolean>;
 }
@@ -38,7 +38,7 @@
 /** A run that a back end may have begun. */
 export interface WatchedRun {
   /** The life that is known when the run begins. */
-  readonly life: BackEndLife;
+  readonly life: BackEndIncarnation;
   readonly address: string;
   readonly request: RequestUnderWay;
 }
@@ -60,7 +60,7 @@
    */
   end(run: WatchedRun, outcome: OwnerOutcome): Promise<boolean>;
   /** This life is there: the one before has crashed if runs were lost with it lately. */
-  onLife(life: BackEndLife): void;
+  onLife(life: BackEndIncarnation): void;
 }
 
 export function createCrashWatch(context: CrashWatchContext): CrashWatch {
@@ -69,21 +69,21 @@
   const underWay = new Map<WatchedRun, number>();
   /** Without an answer, the oldest first. */
   let ended: EndedRun[] = [];
-  let crashed: BackEndLife | undefined;
+  let crashed: BackEndIncarnation | undefined;
   let look: Promise<boolean> | undefined;
 
   /** What began after `begunUntil` ran on a later life, though it was not yet known. */
-  const noteCrash = (life: BackEndLife, begunUntil = Number.POSITIVE_INFINITY): void => {
-    if (crashed && isSameLife(life, crashed)) {
+  const noteCrash = (life: BackEndIncarnation, begunUntil = Number.POSITIVE_INFINITY): void => {
+    if (crashed && isSameIncarnation(life, crashed)) {
       return;
     }
     crashed = life;
-    const gone = ended.filter((run) => isSameLife(run.life, life));
+    const gone = ended.filter((run) => isSameIncarnation(run.life, life));
     ended = ended.filter((run) => !gone.includes(run));
     const crashedAt = gone.at(-1)?.endedAt ?? clock.now();
     const atTheEnd = gone.filter(({ endedAt }) => crashedAt - endedAt < LEFT_BEHIND_MS);
     const running = [...underWay]
-      .filter(([run, begunAt]) => isSameLife(run.life, life) && begunAt <= begunUntil)
+      .filter(([run, begunAt]) => isSameIncarnation(run.life, life) && begunAt <= begunUntil)
       .map(([run]) => run);
     onCrash(
       life,
@@ -125,14 +125,14 @@
       if (lost && !isOfLife(lost, life)) {
         noteCrash(lost.life, lost.endedAt);
       }
-      if (crashed && isSameLife(crashed, life)) {
+      if (crashed && isSameIncarnation(crashed, life)) {
         crashed = undefined;
       }
     },
   };
 }
 
-function isOfLife(run: WatchedRun, life: BackEndLife): boolean {
+function isOfLife(run: WatchedRun, life: BackEndIncarnation): boolean {
   return run.life.instance === life.instance && run.life.bornAt === life.bornAt;
 }
 
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -2,7 +2,7 @@
 import type http from 'node:http';
 import { Standing } from '../quarantine/crashLedger.js';
 import type { BackEnd, Heartbeat } from '../registry/back-end-registry.js';
-import type { BackEndLife } from '../registry/backEndLife.js';
+import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import { OPEN_PASSAGE } from '../rollout/runGate.js';
 import { AdmissionControl, type AdmissionRequest } from './admission-control.js';
 import { BackEndConnections } from './back-end-agent.js';
@@ -62,7 +62,7 @@
   }
 
   /** What is known of the service's times stays: they are those of its requests, on this machine. */
-  private onNewLife(life: BackEndLife): void {
+  private onNewLife(life: BackEndIncarnation): void {
     this.observations.reset();
     this.connections.renew();
     this.calls.onLife(life);
@@ -117,7 +117,7 @@
   }
 
   /** Takes a deregistration; it is fenced before this returns. */
-  deregister(life: BackEndLife): void {
+  deregister(life: BackEndIncarnation): void {
     this.presence.deregister(life);
   }
 
--- a/src/owner/watchedCalls.ts
+++ b/src/owner/watchedCalls.ts
@@ -1,7 +1,7 @@
 /** Calls to the back end whose ends tell which requests crash it, and which do not. */
 import type { Clock } from '../model/clock.js';
 import type { CrashLedger, CrashNews } from '../quarantine/crashLedger.js';
-import { type BackEndLife, nameOfLife } from '../registry/backEndLife.js';
+import { type BackEndIncarnation, incarnationName } from '../registry/backEndIncarnation.js';
 import { type BackEndCallOptions, type BackEndCallResult, callBackEnd } from './back-end-call.js';
 import { createCrashWatch } from './crashWatch.js';
 import type { MessageBody } from './message-body.js';
@@ -12,7 +12,7 @@
   readonly clock: Clock;
   readonly ledger: CrashLedger;
   /** The back end has crashed; called before `onNews`. */
-  readonly onCrash: (life: BackEndLife, news: CrashNews) => void;
+  readonly onCrash: (life: BackEndIncarnation, news: CrashNews) => void;
   /** The back end has crashed, or a suspect has run to its end: other nodes are to know. */
   readonly onNews: (news: CrashNews) => void;
 }
@@ -24,7 +24,7 @@
    */
   call(task: OwnerTask, body: MessageBody, options: BackEndCallOptions): Promise<BackEndCallResult>;
   /** This life is there; the one before has ended. */
-  onLife(life: BackEndLife): void;
+  onLife(life: BackEndIncarnation): void;
 }
 
 export function createWatchedCalls(context: WatchedCallsContext): WatchedCalls {
@@ -32,7 +32,7 @@
   const crashes = createCrashWatch({
     clock,
     onCrash: (life, underWay) => {
-      const news = ledger.noteCrash(nameOfLife(life), underWay, clock.now());
+      const news = ledger.noteCrash(incarnationName(life), underWay, clock.now());
       onCrash(life, news);
       onNews(news);
     },
--- a/src/registry/back-end-registry.test.ts
+++ b/src/registry/back-end-registry.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { type BackEnd, BackEndRegistry, type Heartbeat } from './back-end-registry.js';
-import { nameOfLife } from './backEndLife.js';
+import { incarnationName } from './backEndIncarnation.js';
 
 const FALLBACK = {
   service: 'catalogue',
@@ -32,7 +32,7 @@
   const changes: (BackEnd | undefined)[] = [];
   const registry = new BackEndRegistry((backEnd) => changes.push(backEnd));
   registry.heartbeat(beat({ instance }), 0);
-  registry.verified({ instance, slots: 4 }, FALLBACK);
+  registry.confirmReady({ instance, slots: 4 }, FALLBACK);
   return { registry, changes };
 }
 
@@ -41,13 +41,13 @@
     const registry = new BackEndRegistry(() => {});
     expect(registry.heartbeat(beat(), 0)).toBe('unverified');
     expect(registry.current).toBeUndefined();
-    registry.verified({ instance: 'i-1', slots: 9 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 9 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', slots: 4, state: 'ready' });
   });
 
   it('knows a back end from its health answer alone after a restart of the node', () => {
     const registry = new BackEndRegistry(() => {});
-    registry.verified({ instance: 'i-1', slots: 6 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 6 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', slots: 6 });
     expect(registry.heartbeat(beat({ sequence: 0 }), 5)).toBe('applied');
   });
@@ -64,16 +64,16 @@
     registry.deregister({ instance: 'i-1', bornAt: undefined });
     expect(registry.current?.state).toBe('draining');
     expect(registry.heartbeat(beat({ sequence: 99 }), 20)).toBe('old');
-    registry.verified({ instance: 'i-1', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current?.state).toBe('draining');
   });
 
   it('never returns to an incarnation that another has followed', () => {
     const { registry } = registryWith('i-1');
     registry.heartbeat(beat({ instance: 'i-2', sequence: 1 }), 10);
-    registry.verified({ instance: 'i-2', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-2', slots: 4 }, FALLBACK);
     registry.heartbeat(beat({ instance: 'i-1', sequence: 50 }), 20);
-    registry.verified({ instance: 'i-1', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current?.instance).toBe('i-2');
   });
 
@@ -98,7 +98,7 @@
     const lives: boolean[] = [];
     const registry = new BackEndRegistry((_backEnd, isNewLife) => lives.push(isNewLife));
     registry.heartbeat(beat({ bornAt: 100, sequence: 50 }), 0);
-    registry.verified({ instance: 'i-1', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     registry.heartbeat(beat({ bornAt: 200, sequence: 1 }), 10);
     expect(registry.heartbeat(beat({ bornAt: 200, sequence: 2 }), 20)).toBe('applied');
     expect(registry.current).toMatchObject({ bornAt: 200, sequence: 2 });
@@ -117,7 +117,7 @@
 
   it('takes the birth of a back end that it knew from its health answer alone', () => {
     const registry = new BackEndRegistry(() => {});
-    registry.verified({ instance: 'i-1', slots: 6 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 6 }, FALLBACK);
     registry.heartbeat(beat({ bornAt: 200, sequence: 3 }), 0);
     expect(registry.heartbeat(beat({ bornAt: 100, sequence: 9, state: 'draining' }), 5)).toBe(
       'old',
@@ -131,10 +131,10 @@
     registry.heartbeat(beat({ bornAt: 200, sequence: 1, address: '127.0.0.1:2' }), 20);
     expect(registry.current).toMatchObject({ address: '127.0.0.1:2', bornAt: 200 });
     registry.heartbeat(beat({ instance: 'i-2', bornAt: 50 }), 30);
-    registry.verified({ instance: 'i-2', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-2', slots: 4 }, FALLBACK);
     expect(registry.heartbeat(beat({ bornAt: 200, sequence: 9 }), 40)).toBe('old');
     expect(registry.heartbeat(beat({ bornAt: 300, sequence: 1 }), 50)).toBe('unverified');
-    registry.verified({ instance: 'i-1', slots: 4 }, FALLBACK);
+    registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', bornAt: 300 });
   });
 
@@ -161,25 +161,25 @@
         const left = new Set<string>();
         for (const { kind, instance, bornAt, sequence } of events) {
           if (kind === 'verified') {
-            registry.verified({ instance, slots: 2 }, FALLBACK);
+            registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           } else if (kind === 'deregister') {
             registry.deregister({ instance, bornAt });
-            left.add(nameOfLife({ instance, bornAt }));
+            left.add(incarnationName({ instance, bornAt }));
           } else {
             const state = kind === 'draining' ? 'draining' : 'ready';
             const result = registry.heartbeat(beat({ instance, bornAt, sequence, state }), 0);
             if (state === 'draining' && result === 'applied') {
-              left.add(nameOfLife({ instance, bornAt }));
+              left.add(incarnationName({ instance, bornAt }));
             }
           }
           const { current } = registry;
-          if (current && left.has(nameOfLife(current))) {
+          if (current && left.has(incarnationName(current))) {
             expect(current.state).toBe('draining');
           }
         }
         for (const instance of ['i-1', 'i-2']) {
           registry.heartbeat(beat({ instance, bornAt: 4, sequence: 1 }), 0);
-          registry.verified({ instance, slots: 2 }, FALLBACK);
+          registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           expect(registry.current).toMatchObject({ instance, bornAt: 4, state: 'ready' });
         }
       }),
@@ -203,7 +203,7 @@
             registry.deregister({ instance, bornAt: undefined });
             fenced.add(instance);
           } else if (kind === 'verified') {
-            registry.verified({ instance, slots: 2 }, FALLBACK);
+            registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           } else {
             const state = kind === 'draining' ? 'draining' : 'ready';
             const result = registry.heartbeat(beat({ instance, sequence, state }), 0);
--- a/src/registry/back-end-registry.ts
+++ b/src/registry/back-end-registry.ts
@@ -4,11 +4,15 @@
  * life that is leaving never becomes ready again, however late and in whatever
  * order its heartbeats arrive. A later life under the same id is not bound.
  */
-import { type BackEndLife, isLaterLife, isSameLife } from './backEndLife.js';
-import { createEndedLives } from './endedLives.js';
+import {
+  type BackEndIncarnation,
+  isLaterIncarnation,
+  isSameIncarnation,
+} from './backEndIncarnation.js';
+import { createEndedIncarnations } from './endedIncarnations.js';
 
 /** A heartbeat as a back end sends it; its life is the present one. */
-export interface Heartbeat extends BackEndLife {
+export interface Heartbeat extends BackEndIncarnation {
   readonly service: string;
   readonly address: string;
   readonly slots: number;
@@ -22,7 +26,7 @@
 }
 
 /** The back end that the node may send work to, or that is leaving. */
-export interface BackEnd extends BackEndLife {
+export interface BackEnd extends BackEndIncarnation {
   readonly service: string;
   readonly address: string;
   readonly slots: number;
@@ -51,7 +55,7 @@
 export class BackEndRegistry {
   private backEnd: BackEnd | undefined;
   private pending: { beat: Heartbeat; at: number } | undefined;
-  private readonly ended = createEndedLives();
+  private readonly ended = createEndedIncarnations();
 
   constructor(private readonly onChange: BackEndListener) {}
 
@@ -60,11 +64,11 @@
   }
 
   /** The life that waits for its health answer, if there is one. */
-  get unverified(): Heartbeat | undefined {
+  get pendingHeartbeat(): Heartbeat | undefined {
     return this.pending?.beat;
   }
 
-  /** Takes a heartbeat. One of an unknown id waits for {@link verified}. */
+  /** Takes a heartbeat. One of an unknown id waits for {@link confirmReady}. */
   heartbeat(beat: Heartbeat, now: number): HeartbeatResult {
     if (this.ended.has(beat)) {
       return 'old';
@@ -84,13 +88,13 @@
   }
 
   /** A life says that it leaves for good. */
-  deregister(life: BackEndLife): void {
+  deregister(life: BackEndIncarnation): void {
     const leaving = { ...life, bornAt: life.bornAt ?? this.knownBirth(life.instance) };
     this.ended.add(leaving);
     if (this.pending && this.ended.has(this.pending.beat)) {
       this.pending = undefined;
     }
-    if (this.backEnd?.instance === life.instance && !isLaterLife(this.backEnd, leaving)) {
+    if (this.backEnd?.instance === life.instance && !isLaterIncarnation(this.backEnd, leaving)) {
       const bornAt = this.backEnd.bornAt ?? leaving.bornAt;
       this.change({ ...this.backEnd, bornAt, state: 'draining' });
     }
@@ -100,7 +104,7 @@
    * A back end said itself which it is, and that it is ready.
    * `fallback` describes it when no heartbeat of it has been heard yet.
    */
-  verified(report: HealthReport, fallback: Omit<BackEnd, 'instance' | 'slots'>): void {
+  confirmReady(report: HealthReport, fallback: Omit<BackEnd, 'instance' | 'slots'>): void {
     const { instance } = report;
     if (this.backEnd?.instance === instance) {
       return;
@@ -121,10 +125,10 @@
 
   /** A heartbeat under the id of the known back end: of the known life, or of a later or earlier one. */
   private takeOwn(known: BackEnd, beat: Heartbeat, now: number): HeartbeatResult {
-    if (isLaterLife(known, beat)) {
+    if (isLaterIncarnation(known, beat)) {
       return 'old';
     }
-    if (!isLaterLife(beat, known)) {
+    if (!isLaterIncarnation(beat, known)) {
       return this.update(known, beat, now);
     }
     // Its birth proves that the known life has ended; no health answer could prove more.
@@ -164,7 +168,9 @@
 }
 
 function isNewer(beat: Heartbeat, than: Heartbeat): boolean {
-  return isSameLife(beat, than) ? beat.sequence > than.sequence : !isLaterLife(than, beat);
+  return isSameIncarnation(beat, than)
+    ? beat.sequence > than.sequence
+    : !isLaterIncarnation(than, beat);
 }
 
 function backEndOf(beat: Heartbeat, now: number): BackEnd {
--- a/src/registry/backEndLife.ts
+++ b/src/registry/backEndIncarnation.ts
@@ -4,7 +4,7 @@
  */
 
 /** One life of a back end, from a start to its end. */
-export interface BackEndLife {
+export interface BackEndIncarnation {
   /** Id of the back end. */
   readonly instance: string;
   /**
@@ -15,13 +15,13 @@
 }
 
 /** True unless the two are known to differ: who does not tell its birth is taken for the life that is known. */
-export function isSameLife(left: BackEndLife, right: BackEndLife): boolean {
+export function isSameIncarnation(left: BackEndIncarnation, right: BackEndIncarnation): boolean {
   const isTold = left.bornAt !== undefined && right.bornAt !== undefined;
   return left.instance === right.instance && (!isTold || left.bornAt === right.bornAt);
 }
 
 /** True if the same back end has started again between the two. */
-export function isLaterLife(life: BackEndLife, than: BackEndLife): boolean {
+export function isLaterIncarnation(life: BackEndIncarnation, than: BackEndIncarnation): boolean {
   const { bornAt } = life;
   return (
     life.instance === than.instance &&
@@ -32,6 +32,6 @@
 }
 
 /** Names a life, for records and logs: the id alone while no birth is told. */
-export function nameOfLife({ instance, bornAt }: BackEndLife): string {
+export function incarnationName({ instance, bornAt }: BackEndIncarnation): string {
   return bornAt === undefined ? instance : `${instance}.${bornAt}`;
 }
--- a/src/registry/endedLives.ts
+++ b/src/registry/endedIncarnations.ts
@@ -1,17 +1,17 @@
 /** Which lives of back ends have ended, or are about to: they get no more work, whatever comes late of them. */
-import type { BackEndLife } from './backEndLife.js';
+import type { BackEndIncarnation } from './backEndIncarnation.js';
 
 /** Back ends of which ended lives are remembered, the latest. */
 const MAX_REMEMBERED = 256;
 
-export interface EndedLives {
+export interface EndedIncarnations {
   /** This life, and all before it of the same back end, have ended. */
-  add(life: BackEndLife): void;
+  add(life: BackEndIncarnation): void;
   /** True if the life is known to have ended. One that began later under the same id has not. */
-  has(life: BackEndLife): boolean;
+  has(life: BackEndIncarnation): boolean;
 }
 
-export function createEndedLives(): EndedLives {
+export function createEndedIncarnations(): EndedIncarnations {
   /** The latest birth that has ended, by id; undefined while none was told. */
   const births = new Map<string, number | undefined>();
   return {
--- a/src/sidecar/decisionRecords.ts
+++ b/src/sidecar/decisionRecords.ts
@@ -6,7 +6,7 @@
 import type { OverdueRun } from '../owner/backEndObservations.js';
 import type { OwnerReport, TaskRecord } from '../owner/owner-report.js';
 import type { CrashNews } from '../quarantine/crashLedger.js';
-import type { BackEndLife } from '../registry/backEndLife.js';
+import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import type { TenantUseCount } from '../tenants/tenantUse.js';
 
 /** Statuses from here on are failures, of the back end or of this node. */
@@ -61,7 +61,7 @@
 /** The back end here has crashed; the lines of the tasks that it lost have the same fingerprints. */
 export function recordCrash(
   { log, metrics }: RecordSinks,
-  { instance, bornAt }: BackEndLife,
+  { instance, bornAt }: BackEndIncarnation,
   { suspects, quarantined }: CrashNews,
 ): void {
   metrics.backEndCrashed();
--- a/src/sidecar/outside.ts
+++ b/src/sidecar/outside.ts
@@ -2,7 +2,7 @@
 import type { RolloutObjects } from '../directory/rolloutStatus.js';
 import type { HeaderNames } from '../owner/header-names.js';
 import type { Heartbeat } from '../registry/back-end-registry.js';
-import type { BackEndLife } from '../registry/backEndLife.js';
+import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import type { PolicyCompiler } from '../routing/completeConfiguration.js';
 import type { ConfigurationCandidate } from '../source/configuration-holder.js';
 import type { ObjectStore } from '../source/object-store.js';
@@ -31,5 +31,5 @@
 /** What a back end says to its node. */
 export type Registration =
   | { readonly kind: 'heartbeat'; readonly beat: Heartbeat }
-  | { readonly kind: 'deregister'; readonly life: BackEndLife }
+  | { readonly kind: 'deregister'; readonly life: BackEndIncarnation }
   | { readonly kind: 'unreadable'; readonly reason: string };
