--- a/src/directory/quarantineSync.ts
+++ b/src/directory/quarantineSync.ts
@@ -7,13 +7,16 @@
 import { rankNames } from '../model/rendezvous.js';
 import { NewsTopic } from '../peer/peerMessages.js';
 import {
-  type CrashLedger,
-  type CrashNews,
+  decodeCrashAnnouncement,
+  encodeCrashAnnouncement,
+} from '../quarantine/crashAnnouncementCodec.js';
+import {
+  type CrashAnnouncement,
+  type CrashTracker,
+  QuarantineStatus,
   type RequestKey,
-  Standing,
   SUSPECT_CRASHES,
-} from '../quarantine/crashLedger.js';
-import { listOfNews, readNews } from '../quarantine/crashNewsCodec.js';
+} from '../quarantine/crashTracker.js';
 import type { CollectionHandler, WatchTiming } from '../source/collection-watcher.js';
 import type { ObjectStore } from '../source/object-store.js';
 import type { CrashedRequest } from './crashRecord.js';
@@ -33,7 +36,7 @@
 export interface QuarantineSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  readonly ledger: CrashLedger;
+  readonly ledger: CrashTracker;
   readonly directory: OwnerDirectory;
   readonly broadcast: NewsBroadcast;
   readonly own: () => OwnerRecord;
@@ -53,7 +56,7 @@
   start(): void;
   stop(): void;
   /** Something was found out here. */
-  tell(news: CrashNews): void;
+  tell(news: CrashAnnouncement): void;
 }
 
 export function createQuarantineSync(context: QuarantineSyncContext): QuarantineSync {
@@ -70,7 +73,7 @@
       .filter(({ crashes }) => crashes >= SUSPECT_CRASHES);
 
   const isSuspect = (key: RequestKey): boolean =>
-    ledger.standingOf(key, clock.now()) !== Standing.Clear;
+    ledger.statusOf(key, clock.now()) !== QuarantineStatus.Clear;
 
   const nodes = (): string[] => directory.all().map(({ record }) => record.node);
 
@@ -81,10 +84,10 @@
     isOfUse: ({ suspects }) => suspects.some(isSuspect),
     onRecord: ({ suspects, quarantined }) => {
       for (const key of suspects) {
-        ledger.takeSuspicion(key, key.crashes, clock.now());
+        ledger.applySuspicion(key, key.crashes, clock.now());
       }
       for (const key of quarantined) {
-        if (ledger.takeQuarantine(key, clock.now())) {
+        if (ledger.applyQuarantine(key, clock.now())) {
           note(key, 'begun', 'store');
         }
       }
@@ -126,9 +129,9 @@
   };
 
   broadcast.listen(NewsTopic.Crashes, (content, from) => {
-    const news = readNews(content);
+    const news = decodeCrashAnnouncement(content);
     if (news) {
-      noteQuarantined(ledger.takeNews(news, clock.now()), from);
+      noteQuarantined(ledger.applyAnnouncement(news, clock.now()), from);
     } else {
       onUnreadable('news', from);
     }
@@ -144,11 +147,11 @@
       records.stop();
     },
     tell: (news) => {
-      broadcast.tell(NewsTopic.Crashes, listOfNews(news));
+      broadcast.tell(NewsTopic.Crashes, encodeCrashAnnouncement(news));
       noteQuarantined(news.quarantined, 'own');
-      if (news.life !== undefined) {
+      if (news.incarnation !== undefined) {
         // First crashes are of no use there: most of what was under way runs to its end at once.
-        void records.write(news.life, {
+        void records.write(news.incarnation, {
           suspects: counted(news.suspects),
           quarantined: counted(news.quarantined),
         });
--- a/src/ingress/dispatch.test.ts
+++ b/src/ingress/dispatch.test.ts
@@ -5,7 +5,7 @@
 import { createSpillAllowance, LARGE_BODY_BYTES } from '../directory/spillAllowance.js';
 import { EMPTY_BODY } from '../owner/message-body.js';
 import { type Owner, type OwnerOutcome, type OwnerTask, turnedAway } from '../owner/owner.js';
-import { createCrashLedger } from '../quarantine/crashLedger.js';
+import { createCrashTracker } from '../quarantine/crashTracker.js';
 import { Dispatch } from './dispatch.js';
 import { createOfferLimit } from './offerLimit.js';
 import { createReturnTimes } from './returnTimes.js';
@@ -59,7 +59,7 @@
   }
   const returns = createReturnTimes();
   const offerLimit = createOfferLimit();
-  const ledger = createCrashLedger();
+  const ledger = createCrashTracker();
   const context = {
     clock: { now: () => 0 },
     directory,
@@ -211,7 +211,7 @@
     spill: createSpillAllowance(),
     returns: createReturnTimes(),
     offerLimit: createOfferLimit(),
-    ledger: createCrashLedger(),
+    ledger: createCrashTracker(),
   };
   const result = new Dispatch(context, task, options.maxAttempts ?? 2, 0).run();
   return {
--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -14,7 +14,11 @@
   type OwnerOutcome,
   type OwnerTask,
 } from '../owner/owner.js';
-import { type CrashLedger, type RequestKey, Standing } from '../quarantine/crashLedger.js';
+import {
+  type CrashTracker,
+  QuarantineStatus,
+  type RequestKey,
+} from '../quarantine/crashTracker.js';
 import { OPEN_SHARE, type RequestShare, type VersionShares } from '../rollout/versionShares.js';
 import { type Attempt, SILENT, startAttempt } from './attempt.js';
 import type { ClientRefusal } from './client-answer.js';
@@ -54,7 +58,7 @@
   readonly spill: SpillAllowance;
   readonly returns: ReturnTimes;
   readonly offerLimit: OfferLimit;
-  readonly ledger: CrashLedger;
+  readonly ledger: CrashTracker;
   /** Left out where no roll-outs are followed. */
   readonly shares?: VersionShares | undefined;
 }
@@ -179,7 +183,10 @@
     if (now >= this.task.deadlineAt || this.task.cancellation.cancelled) {
       return this.giveUp('deadline');
     }
-    if (this.standing === Standing.Quarantined || this.lastNotRun?.reason === 'quarantined') {
+    if (
+      this.standing === QuarantineStatus.Quarantined ||
+      this.lastNotRun?.reason === 'quarantined'
+    ) {
       return this.giveUp('quarantined');
     }
     if (this.mayHaveRun && !this.task.repeatable) {
@@ -208,12 +215,12 @@
 
   private chooseOwner(): OwnerEntry | undefined {
     const { tried, busyNear } = this;
-    const isSuspect = this.standing === Standing.Suspect;
+    const isSuspect = this.standing === QuarantineStatus.Suspect;
     return this.choice.next({ tried, busyNear, isSuspect, now: this.context.clock.now() });
   }
 
-  private get standing(): Standing {
-    return this.context.ledger.standingOf(this.key, this.context.clock.now());
+  private get standing(): QuarantineStatus {
+    return this.context.ledger.statusOf(this.key, this.context.clock.now());
   }
 
   private offer(entry: OwnerEntry): void {
@@ -221,7 +228,7 @@
     this.tried.add(entry);
     this.share.noteOffer(entry.record.node);
     // A suspect has this one owner to run at.
-    const mayWait = this.choice.mayWaitAt(entry) || this.standing === Standing.Suspect;
+    const mayWait = this.choice.mayWaitAt(entry) || this.standing === QuarantineStatus.Suspect;
     const { clock } = this.context;
     this.running.add(startAttempt({ entry, task: this.task, mayWait, clock, earlier }));
   }
--- a/src/ingress/dispatchRefusals.ts
+++ b/src/ingress/dispatchRefusals.ts
@@ -2,7 +2,7 @@
 import type { OwnerDirectory, OwnerWish } from '../directory/owner-directory.js';
 import type { Clock } from '../model/clock.js';
 import type { OwnerNotRun } from '../owner/owner.js';
-import type { CrashLedger, RequestKey } from '../quarantine/crashLedger.js';
+import type { CrashTracker, RequestKey } from '../quarantine/crashTracker.js';
 import type { ClientRefusal } from './client-answer.js';
 import type { ReturnTimes } from './returnTimes.js';
 
@@ -17,7 +17,7 @@
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
   readonly returns: ReturnTimes;
-  readonly ledger: CrashLedger;
+  readonly ledger: CrashTracker;
   readonly service: string;
   readonly key: RequestKey;
   readonly mayServe: OwnerWish['mayServe'];
--- a/src/owner/crashWatch.test.ts
+++ b/src/owner/crashWatch.test.ts
@@ -28,7 +28,7 @@
     const started = {
       life: { instance, bornAt },
       address: 'a:1',
-      request: { fingerprint, caller: 'desk', hadCrashed: false },
+      request: { fingerprint, caller: 'desk', hadPriorCrash: false },
     };
     watch.begin(started);
     return started;
--- a/src/owner/crashWatch.ts
+++ b/src/owner/crashWatch.ts
@@ -7,7 +7,7 @@
 import net from 'node:net';
 import type { Clock } from '../model/clock.js';
 import { endpointOf } from '../model/endpoint.js';
-import type { RequestUnderWay } from '../quarantine/crashLedger.js';
+import type { InFlightRequest } from '../quarantine/crashTracker.js';
 import { type BackEndIncarnation, isSameIncarnation } from '../registry/backEndIncarnation.js';
 import type { OwnerOutcome } from './owner.js';
 
@@ -30,7 +30,7 @@
 export interface CrashWatchContext {
   readonly clock: Clock;
   /** A life has ended in a crash while these requests, and no others, were under way. */
-  readonly onCrash: (life: BackEndIncarnation, underWay: readonly RequestUnderWay[]) => void;
+  readonly onCrash: (life: BackEndIncarnation, underWay: readonly InFlightRequest[]) => void;
   /** True if something listens at an address; for tests. */
   readonly listens?: (address: string) => Promise<boolean>;
 }
@@ -40,7 +40,7 @@
   /** The life that is known when the run begins. */
   readonly life: BackEndIncarnation;
   readonly address: string;
-  readonly request: RequestUnderWay;
+  readonly request: InFlightRequest;
 }
 
 /** A run that has ended without an answer. */
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -1,6 +1,6 @@
 /** The gate to the back end on this machine: admits tasks, sends them, and reports its load. */
 import type http from 'node:http';
-import { Standing } from '../quarantine/crashLedger.js';
+import { QuarantineStatus } from '../quarantine/crashTracker.js';
 import type { BackEnd, Heartbeat } from '../registry/back-end-registry.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import { OPEN_PASSAGE } from '../rollout/runGate.js';
@@ -157,7 +157,7 @@
       targetAt,
       deadlineAt,
       mayWait,
-      runsAlone: this.standingOf(task) === Standing.Suspect,
+      runsAlone: this.standingOf(task) === QuarantineStatus.Suspect,
       isCall: this.called.isCalled(route),
     };
     const decision = this.admission.decide(request, clock.now());
@@ -179,9 +179,9 @@
     return this.runAdmitted(task, request, times);
   }
 
-  private standingOf(task: OwnerTask): Standing {
+  private standingOf(task: OwnerTask): QuarantineStatus {
     const { ledger, clock } = this.options;
-    return ledger.standingOf(crashKeyOf(task), clock.now());
+    return ledger.statusOf(crashKeyOf(task), clock.now());
   }
 
   private async runAdmitted(
@@ -268,7 +268,7 @@
     if (task.cancellation.cancelled) {
       return 'cancelled';
     }
-    if (this.standingOf(task) === Standing.Suspect && !runsAlone) {
+    if (this.standingOf(task) === QuarantineStatus.Suspect && !runsAlone) {
       return 'suspect';
     }
     return this.presence.sendObstacle() ?? this.mismatch(task);
@@ -278,7 +278,7 @@
     if (this.presence.backEnd?.service !== task.service) {
       return 'other-service';
     }
-    if (this.standingOf(task) === Standing.Quarantined) {
+    if (this.standingOf(task) === QuarantineStatus.Quarantined) {
       return 'quarantined';
     }
     return this.options.clock.now() >= task.deadlineAt ? 'expired' : undefined;
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -4,7 +4,7 @@
  * exactly what is known about its fate.
  */
 
-import type { RequestKey } from '../quarantine/crashLedger.js';
+import type { RequestKey } from '../quarantine/crashTracker.js';
 import type { Cancellation } from './cancellation.js';
 import type { BytesBody, MessageBody } from './message-body.js';
 
--- a/src/owner/watchedCalls.ts
+++ b/src/owner/watchedCalls.ts
@@ -1,6 +1,6 @@
 /** Calls to the back end whose ends tell which requests crash it, and which do not. */
 import type { Clock } from '../model/clock.js';
-import type { CrashLedger, CrashNews } from '../quarantine/crashLedger.js';
+import type { CrashAnnouncement, CrashTracker } from '../quarantine/crashTracker.js';
 import { type BackEndIncarnation, incarnationName } from '../registry/backEndIncarnation.js';
 import { type BackEndCallOptions, type BackEndCallResult, callBackEnd } from './back-end-call.js';
 import { createCrashWatch } from './crashWatch.js';
@@ -10,11 +10,11 @@
 /** What is needed of the owner. */
 export interface WatchedCallsContext {
   readonly clock: Clock;
-  readonly ledger: CrashLedger;
+  readonly ledger: CrashTracker;
   /** The back end has crashed; called before `onNews`. */
-  readonly onCrash: (life: BackEndIncarnation, news: CrashNews) => void;
+  readonly onCrash: (life: BackEndIncarnation, news: CrashAnnouncement) => void;
   /** The back end has crashed, or a suspect has run to its end: other nodes are to know. */
-  readonly onNews: (news: CrashNews) => void;
+  readonly onNews: (news: CrashAnnouncement) => void;
 }
 
 export interface WatchedCalls {
@@ -41,8 +41,8 @@
     call: async (task, body, options) => {
       const { instance, bornAt, address } = options.backEnd;
       const key = crashKeyOf(task);
-      const hadCrashed = ledger.crashesOf(key.fingerprint) > 0;
-      const run = { life: { instance, bornAt }, address, request: { ...key, hadCrashed } };
+      const hadPriorCrash = ledger.crashesOf(key.fingerprint) > 0;
+      const run = { life: { instance, bornAt }, address, request: { ...key, hadPriorCrash } };
       crashes.begin(run);
       const result = await callBackEnd(task, body, options);
       const news =
--- a/src/peer/peerMessages.test.ts
+++ b/src/peer/peerMessages.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { FrameReader } from '../codec/frame.js';
-import { listOfNews } from '../quarantine/crashNewsCodec.js';
+import { encodeCrashAnnouncement } from '../quarantine/crashAnnouncementCodec.js';
 import { decodeMessage, encodeMessage } from './peerCodec.js';
 import { MessageKind, NewsTopic, type PeerMessage, type PeerReport } from './peerMessages.js';
 
@@ -67,12 +67,12 @@
   topic: fc.constantFrom(NewsTopic.Crashes, NewsTopic.Quotas, NewsTopic.RollOuts),
   content: fc
     .record({
-      life: fc.option(fc.string(), { nil: undefined }),
+      incarnation: fc.option(fc.string(), { nil: undefined }),
       suspects: keys,
       quarantined: keys,
       cleared: keys,
     })
-    .map(listOfNews),
+    .map(encodeCrashAnnouncement),
   passesOn: fc.boolean(),
 });
 
--- a/src/quarantine/crashNewsCodec.test.ts
+++ b/src/quarantine/crashAnnouncementCodec.test.ts
@@ -1,11 +1,11 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
-import { listOfNews, readNews } from './crashNewsCodec.js';
+import { decodeCrashAnnouncement, encodeCrashAnnouncement } from './crashAnnouncementCodec.js';
 
 const keys = fc.array(fc.record({ fingerprint: fc.string(), caller: fc.string() }));
 
 const news = fc.record({
-  life: fc.option(fc.string(), { nil: undefined }),
+  incarnation: fc.option(fc.string(), { nil: undefined }),
   suspects: keys,
   quarantined: keys,
   cleared: keys,
@@ -15,7 +15,7 @@
   it('come out as they went in', () => {
     fc.assert(
       fc.property(news, (told) => {
-        expect(readNews(listOfNews(told))).toEqual(told);
+        expect(decodeCrashAnnouncement(encodeCrashAnnouncement(told))).toEqual(told);
       }),
       { seed: 13, numRuns: 200 },
     );
@@ -23,7 +23,7 @@
 
   it('are none when they are something else', () => {
     for (const value of [undefined, 'i-1', [], ['i-1', [], []], ['i-1', [['f']], [], []]]) {
-      expect(readNews(value)).toBeUndefined();
+      expect(decodeCrashAnnouncement(value)).toBeUndefined();
     }
   });
 });
--- a/src/quarantine/crashNewsCodec.ts
+++ b/src/quarantine/crashAnnouncementCodec.ts
@@ -1,10 +1,10 @@
 /** How news of crashes travels between nodes: the name of the life, then three lists of requests. */
-import type { CrashNews, RequestKey } from './crashLedger.js';
+import type { CrashAnnouncement, RequestKey } from './crashTracker.js';
 
 /** Renders news as a list. */
-export function listOfNews(news: CrashNews): unknown[] {
+export function encodeCrashAnnouncement(news: CrashAnnouncement): unknown[] {
   return [
-    news.life,
+    news.incarnation,
     listOfKeys(news.suspects),
     listOfKeys(news.quarantined),
     listOfKeys(news.cleared),
@@ -12,18 +12,18 @@
 }
 
 /** Reads a list; undefined when it is no news. */
-export function readNews(value: unknown): CrashNews | undefined {
+export function decodeCrashAnnouncement(value: unknown): CrashAnnouncement | undefined {
   if (!Array.isArray(value)) {
     return undefined;
   }
-  const [life, ...lists] = value as unknown[];
+  const [incarnation, ...lists] = value as unknown[];
   const [suspects, quarantined, cleared] = lists.map(readKeys);
-  const isNamed = typeof life === 'string' || life === undefined;
+  const isNamed = typeof incarnation === 'string' || incarnation === undefined;
   if (!isNamed || !suspects || !quarantined || !cleared) {
     return undefined;
   }
   return {
-    life,
+    incarnation,
     suspects,
     quarantined,
     cleared,
--- a/src/quarantine/crashEntries.ts
+++ b/src/quarantine/crashEntries.ts
@@ -9,7 +9,7 @@
 /** What is known of one request; its callers are told apart. */
 export interface CrashEntry {
   /** Names of the lives that ended under the request. */
-  readonly lives: Set<string>;
+  readonly incarnations: Set<string>;
   /** Callers whose request was under a crash. */
   readonly callers: Set<string>;
   /** Callers whose request ran to its end since. */
@@ -17,9 +17,9 @@
   /** Callers whose request is quarantined, with the steady time of that in milliseconds. */
   readonly quarantined: Map<string, number>;
   /** Crashes that were told without naming the lives. */
-  toldCrashes: number;
+  reportedCrashes: number;
   /** Steady time in milliseconds of the last crash that was heard of. */
-  lastAt: number;
+  lastCrashAt: number;
 }
 
 /** Entries by the request's fingerprint. */
@@ -53,7 +53,7 @@
     get: (fingerprint) => entries.get(fingerprint),
     touch: (fingerprint, now) => {
       const entry = entries.get(fingerprint) ?? newEntry();
-      entry.lastAt = now;
+      entry.lastCrashAt = now;
       // Put in anew, so that the order stays that of the last crashes.
       entries.delete(fingerprint);
       entries.set(fingerprint, entry);
@@ -68,24 +68,24 @@
 }
 
 /** Crashes that are known of a request. */
-export function crashesIn({ lives, toldCrashes }: CrashEntry): number {
-  return Math.max(lives.size, toldCrashes);
+export function crashCountOf({ incarnations, reportedCrashes }: CrashEntry): number {
+  return Math.max(incarnations.size, reportedCrashes);
 }
 
 /** A life of a back end has ended under the request. */
-export function noteLife({ lives }: CrashEntry, life: string): void {
-  if (lives.size < MAX_LIVES) {
-    lives.add(life);
+export function addIncarnation({ incarnations }: CrashEntry, life: string): void {
+  if (incarnations.size < MAX_LIVES) {
+    incarnations.add(life);
   }
 }
 
 function newEntry(): CrashEntry {
   return {
-    lives: new Set(),
+    incarnations: new Set(),
     callers: new Set(),
     cleared: new Set(),
     quarantined: new Map(),
-    toldCrashes: 0,
-    lastAt: 0,
+    reportedCrashes: 0,
+    lastCrashAt: 0,
   };
 }
--- a/src/quarantine/crashLedger.ts
+++ b/src/quarantine/crashTracker.ts
@@ -11,19 +11,19 @@
  */
 
 import { createCompletedRuns } from './completedRuns.js';
-import { crashesIn, createCrashEntries, noteLife } from './crashEntries.js';
+import { addIncarnation, crashCountOf, createCrashEntries } from './crashEntries.js';
 import { distinctKeys, keyText, type RequestKey } from './requestKey.js';
 
 export type { RequestKey } from './requestKey.js';
 
 /** A request that was under way when its back end crashed. */
-export interface RequestUnderWay extends RequestKey {
+export interface InFlightRequest extends RequestKey {
   /** True if it was known of a crash under it when it began to run. */
-  readonly hadCrashed: boolean;
+  readonly hadPriorCrash: boolean;
 }
 
 /** How a request is treated. */
-export enum Standing {
+export enum QuarantineStatus {
   Clear = 'clear',
   /** Runs alone on its back end, at one owner of the mesh. */
   Suspect = 'suspect',
@@ -32,9 +32,9 @@
 }
 
 /** What one node has found out and others are to know. */
-export interface CrashNews {
+export interface CrashAnnouncement {
   /** Name of the back end's life that ended in a crash, if one did. */
-  readonly life: string | undefined;
+  readonly incarnation: string | undefined;
   readonly suspects: readonly RequestKey[];
   readonly quarantined: readonly RequestKey[];
   /** Suspects that have run to their end. */
@@ -57,20 +57,20 @@
 export const QUARANTINE_MS = 600_000;
 
 /** One per node. `now` is a steady time in milliseconds. */
-export interface CrashLedger {
-  standingOf(key: RequestKey, now: number): Standing;
+export interface CrashTracker {
+  statusOf(key: RequestKey, now: number): QuarantineStatus;
   /** Milliseconds until a quarantined request may run again. */
   quarantineLeftMs(key: RequestKey, now: number): number;
   /** A back end here has run the request to its end. Returns news if it was a suspect. */
-  noteCompleted(key: RequestKey, now: number): CrashNews | undefined;
+  noteCompleted(key: RequestKey, now: number): CrashAnnouncement | undefined;
   /** A back end's life here has ended in a crash while these requests, and no others, were under way. */
-  noteCrash(life: string, underWay: readonly RequestUnderWay[], now: number): CrashNews;
+  noteCrash(life: string, underWay: readonly InFlightRequest[], now: number): CrashAnnouncement;
   /** Takes another node's news; returns what is quarantined since. */
-  takeNews(news: CrashNews, now: number): readonly RequestKey[];
+  applyAnnouncement(news: CrashAnnouncement, now: number): readonly RequestKey[];
   /** The store holds a suspicion of so many crashes. */
-  takeSuspicion(key: RequestKey, crashes: number, now: number): void;
+  applySuspicion(key: RequestKey, crashes: number, now: number): void;
   /** The store holds a quarantine; true if it was not known here. */
-  takeQuarantine(key: RequestKey, now: number): boolean;
+  applyQuarantine(key: RequestKey, now: number): boolean;
   /** The store does not hold it any more: the request runs alone once. */
   lift(key: RequestKey): void;
   /** Crashes that are known of a request; from SUSPECT_CRASHES on it is a suspect unless it was cleared. */
@@ -79,13 +79,13 @@
   quarantined(now: number): readonly RequestKey[];
 }
 
-export function createCrashLedger(): CrashLedger {
+export function createCrashTracker(): CrashTracker {
   const entries = createCrashEntries();
   const completed = createCompletedRuns();
 
   const blame = (life: string, { fingerprint, caller }: RequestKey, now: number): void => {
     const entry = entries.touch(fingerprint, now);
-    noteLife(entry, life);
+    addIncarnation(entry, life);
     entry.callers.add(caller);
     entry.cleared.delete(caller);
   };
@@ -94,7 +94,7 @@
     const entry = entries.touch(fingerprint, now);
     const since = entry.quarantined.get(caller) ?? Number.NEGATIVE_INFINITY;
     const isNew = now - since >= QUARANTINE_MS;
-    entry.toldCrashes = Math.max(entry.toldCrashes, SUSPECT_CRASHES);
+    entry.reportedCrashes = Math.max(entry.reportedCrashes, SUSPECT_CRASHES);
     entry.callers.add(caller);
     entry.cleared.delete(caller);
     if (isNew) {
@@ -116,71 +116,73 @@
     }
   };
 
-  const standingOf = ({ fingerprint, caller }: RequestKey, now: number): Standing => {
+  const statusOf = ({ fingerprint, caller }: RequestKey, now: number): QuarantineStatus => {
     const entry = entries.get(fingerprint);
     if (!entry) {
-      return Standing.Clear;
+      return QuarantineStatus.Clear;
     }
     const since = entry.quarantined.get(caller);
     if (since !== undefined && now - since < QUARANTINE_MS) {
-      return Standing.Quarantined;
+      return QuarantineStatus.Quarantined;
     }
-    if (entry.cleared.has(caller) || now - entry.lastAt > SUSPICION_MS + QUARANTINE_MS) {
-      return Standing.Clear;
+    if (entry.cleared.has(caller) || now - entry.lastCrashAt > SUSPICION_MS + QUARANTINE_MS) {
+      return QuarantineStatus.Clear;
     }
-    const isForgotten = entry.quarantined.size === 0 && now - entry.lastAt > SUSPICION_MS;
-    return crashesIn(entry) >= SUSPECT_CRASHES && !isForgotten ? Standing.Suspect : Standing.Clear;
+    const isForgotten = entry.quarantined.size === 0 && now - entry.lastCrashAt > SUSPICION_MS;
+    return crashCountOf(entry) >= SUSPECT_CRASHES && !isForgotten
+      ? QuarantineStatus.Suspect
+      : QuarantineStatus.Clear;
   };
 
   return {
-    standingOf,
+    statusOf,
     quarantineLeftMs: ({ fingerprint, caller }, now) => {
       const since = entries.get(fingerprint)?.quarantined.get(caller);
       return since === undefined ? 0 : Math.max(0, since + QUARANTINE_MS - now);
     },
     noteCompleted: (key, now) => {
       completed.note(key, now);
-      const isSuspect = standingOf(key, now) === Standing.Suspect;
+      const isSuspect = statusOf(key, now) === QuarantineStatus.Suspect;
       clear(key);
       return isSuspect ? { ...NO_NEWS, cleared: [key] } : undefined;
     },
-    noteCrash: (life, underWay, now) => {
+    noteCrash: (incarnation, underWay, now) => {
       // The same request may run on a back end more than once at a time.
       const isAlone = new Set(underWay.map(keyText)).size === 1;
       const suspects = distinctKeys(underWay).filter((key) => isAlone || !completed.has(key, now));
       for (const key of suspects) {
-        blame(life, key, now);
+        blame(incarnation, key, now);
       }
-      const hadCrashed = underWay.some((request) => request.hadCrashed);
+      const hadCrashed = underWay.some((request) => request.hadPriorCrash);
       const quarantined = isAlone && hadCrashed ? suspects : [];
       for (const key of quarantined) {
         quarantine(key, now);
       }
-      return { ...NO_NEWS, life, suspects, quarantined };
+      return { ...NO_NEWS, incarnation, suspects, quarantined };
     },
-    takeNews: ({ life, suspects, quarantined, cleared }, now) => {
+    applyAnnouncement: ({ incarnation, suspects, quarantined, cleared }, now) => {
       for (const key of suspects) {
-        if (life !== undefined && !completed.has(key, now)) {
-          blame(life, key, now);
+        if (incarnation !== undefined && !completed.has(key, now)) {
+          blame(incarnation, key, now);
         }
       }
       cleared.forEach(clear);
       return quarantined.filter((key) => quarantine(key, now));
     },
-    takeSuspicion: (key, crashes, now) => {
+    applySuspicion: (key, crashes, now) => {
       if (!completed.has(key, now)) {
         const entry = entries.touch(key.fingerprint, now);
-        entry.toldCrashes = Math.max(entry.toldCrashes, crashes);
+        entry.reportedCrashes = Math.max(entry.reportedCrashes, crashes);
         entry.callers.add(key.caller);
       }
     },
-    takeQuarantine: quarantine,
+    applyQuarantine: quarantine,
     lift: ({ fingerprint, caller }) => {
       entries.get(fingerprint)?.quarantined.delete(caller);
     },
     crashesOf: (fingerprint) => {
       const entry = entries.get(fingerprint);
-      return entry ? crashesIn(entry) : 0;
+      return entry ? crashCountOf(entry) : 0;
     },
     quarantined: (now) =>
       entries
@@ -188,9 +190,14 @@
         .flatMap(([fingerprint, entry]) =>
           [...entry.quarantined.keys()]
             .map((caller) => ({ fingerprint, caller }))
-            .filter((key) => standingOf(key, now) === Standing.Quarantined),
+            .filter((key) => statusOf(key, now) === QuarantineStatus.Quarantined),
         ),
   };
 }
 
-const NO_NEWS: CrashNews = { life: undefined, suspects: [], quarantined: [], cleared: [] };
+const NO_NEWS: CrashAnnouncement = {
+  incarnation: undefined,
+  suspects: [],
+  quarantined: [],
+  cleared: [],
+};
--- a/src/sidecar/decisionRecords.ts
+++ b/src/sidecar/decisionRecords.ts
@@ -5,7 +5,7 @@
 import type { RequestRecord } from '../ingress/requestRecord.js';
 import type { OverdueRun } from '../owner/backEndObservations.js';
 import type { OwnerReport, TaskRecord } from '../owner/owner-report.js';
-import type { CrashNews } from '../quarantine/crashLedger.js';
+import type { CrashAnnouncement } from '../quarantine/crashTracker.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import type { TenantUseCount } from '../tenants/tenantUse.js';
 
@@ -62,7 +62,7 @@
 export function recordCrash(
   { log, metrics }: RecordSinks,
   { instance, bornAt }: BackEndIncarnation,
-  { suspects, quarantined }: CrashNews,
+  { suspects, quarantined }: CrashAnnouncement,
 ): void {
   metrics.backEndCrashed();
   log.event('crash', {
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -21,7 +21,7 @@
 import { MessageKind, type PeerReport, type PeerSender } from '../peer/peerMessages.js';
 import { createPeerReads, type PeerReads } from '../peer/peerReads.js';
 import { PeerServer } from '../peer/peerServer.js';
-import { type CrashLedger, createCrashLedger } from '../quarantine/crashLedger.js';
+import { type CrashTracker, createCrashTracker } from '../quarantine/crashTracker.js';
 import type { BackEnd } from '../registry/back-end-registry.js';
 import type { ZoneRelay } from '../relay/zoneRelay.js';
 import { OPEN_PASSAGE } from '../rollout/runGate.js';
@@ -45,7 +45,7 @@
   readonly quarantines: QuarantineSync;
   /** Undefined where no roll-outs are followed. */
   readonly rollouts: RolloutParts | undefined;
-  readonly ledger: CrashLedger;
+  readonly ledger: CrashTracker;
   readonly configuration: ConfigurationFollower;
   readonly ingress: IngressServer;
   readonly peers: PeerServer;
@@ -87,7 +87,7 @@
   const onStore = (use: string) => (connected: boolean, detail: string, cause?: string) =>
     log.event('store', { use, connected, detail, cause, version: configuration.version });
 
-  const ledger = createCrashLedger();
+  const ledger = createCrashTracker();
   const owner = new LocalOwner({
     clock,
     beliefClock,
