--- a/lab/rolloutTrial.ts
+++ b/lab/rolloutTrial.ts
@@ -9,12 +9,16 @@
 import { createRolloutReporter, type RolloutReporter } from '../src/directory/rolloutReporter.js';
 import { createRolloutSteering, type RolloutSteering } from '../src/directory/rolloutSteering.js';
 import type { News } from '../src/peer/peerCaller.js';
-import { createRolloutBook, type RolloutBook } from '../src/rollout/rolloutBook.js';
-import { type PhaseNews, RolloutNewsKind, readRolloutNews } from '../src/rollout/rolloutNews.js';
+import {
+  decodeRolloutMessage,
+  type PhaseMessage,
+  RolloutMessageKind,
+} from '../src/rollout/rolloutMessages.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from '../src/rollout/rolloutOrder.js';
-import { RunEnd } from '../src/rollout/runCounts.js';
-import type { Passage } from '../src/rollout/runGate.js';
-import { createVersionShares, type VersionShares } from '../src/rollout/versionShares.js';
+import { createRolloutTracker, type RolloutTracker } from '../src/rollout/rolloutTracker.js';
+import { RunResult } from '../src/rollout/runCounts.js';
+import type { RunPermit } from '../src/rollout/runLimiter.js';
+import { createVersionSelector, type VersionSelector } from '../src/rollout/versionSelector.js';
 import { seededRandom } from './random.js';
 
 /** What a version makes of a request. */
@@ -90,10 +94,10 @@
 interface Node {
   readonly name: string;
   readonly version: string;
-  readonly book: RolloutBook;
+  readonly book: RolloutTracker;
   readonly reporter: RolloutReporter;
   readonly steering: RolloutSteering;
-  readonly shares: VersionShares;
+  readonly shares: VersionSelector;
   /** Ticks at other moments than the others. */
   readonly phaseMs: number;
   running: number;
@@ -101,7 +105,7 @@
 
 interface Running {
   readonly node: Node;
-  readonly passage: Passage;
+  readonly passage: RunPermit;
   readonly route: number;
   readonly startedAt: number;
   readonly endsAt: number;
@@ -164,8 +168,8 @@
   };
 
   const nodes: Node[] = names.map((name, index) => {
-    const book = createRolloutBook({ clock, staleMs: () => CONTACT_MS });
-    book.isListed = true;
+    const book = createRolloutTracker({ clock, staleMs: () => CONTACT_MS });
+    book.isSynced = true;
     const own = () => ({ node: name, address: name, zone: 'zone-a' }) as OwnerEntry['record'];
     const isDecider = index === 0;
     const election = {
@@ -176,7 +180,7 @@
     };
     const caller = {
       tell: (address: string, { content }: News) => {
-        const isReport = readRolloutNews(content)?.kind === RolloutNewsKind.Evidence;
+        const isReport = decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence;
         if (!isReport || !isMute(name, now)) {
           send(address, content, isReport ? reportMs : wordMs);
         }
@@ -235,7 +239,7 @@
           }
         },
       }),
-      shares: createVersionShares({
+      shares: createVersionSelector({
         clock,
         bounds: () => TRIAL_BOUNDS,
         applyMs: () => 0,
@@ -243,15 +247,15 @@
         nodes: () => names.length,
         random,
         view: book.view,
-        isListed: () => true,
+        isSynced: () => true,
         withdrawn: book.withdrawn,
       }),
     };
     return node;
   });
 
-  const takePhase = (node: Node, news: PhaseNews): void => {
-    if (node.book.takePhase(news)) {
+  const takePhase = (node: Node, news: PhaseMessage): void => {
+    if (node.book.applyPhase(news)) {
       node.reporter.reportPhase(SERVICE);
     }
   };
@@ -261,13 +265,13 @@
     messages = messages.filter(({ at }) => at > now);
     for (const { to, content } of due) {
       const node = nodes.find(({ name }) => name === to) as Node;
-      const news = readRolloutNews(content);
-      if (news?.kind === RolloutNewsKind.Phase) {
-        node.steering.noteDecider(SERVICE, news.decider);
+      const news = decodeRolloutMessage(content);
+      if (news?.kind === RolloutMessageKind.Phase) {
+        node.steering.noteDecider(SERVICE, news.leader);
         takePhase(node, news);
-      } else if (news?.kind === RolloutNewsKind.Evidence) {
+      } else if (news?.kind === RolloutMessageKind.Evidence) {
         node.steering.takeEvidence(news);
-      } else if (news?.kind === RolloutNewsKind.Limit) {
+      } else if (news?.kind === RolloutMessageKind.Limit) {
         node.reporter.takeLimit(news);
       }
     }
@@ -275,7 +279,7 @@
 
   const tellStatus = (written: RolloutState): void => {
     for (const { book } of nodes) {
-      book.takeOrder({ ...order, state: written });
+      book.applyOrder({ ...order, state: written });
     }
   };
 
@@ -304,7 +308,7 @@
     return serviceMs * Math.exp(0.4 * normal);
   };
 
-  const start = (node: Node, passage: Passage, route: number): void => {
+  const start = (node: Node, passage: RunPermit, route: number): void => {
     const isTarget = node.version === TARGET;
     const phase = nodes[0]?.book.running(SERVICE)?.phase ?? RolloutPhase.Done;
     const run = { route, node: node.name, atMs: now, phase };
@@ -323,15 +327,15 @@
 
   const arrive = (route: number): void => {
     const ingress = nodes[Math.floor(random() * others)] as Node;
-    const share = ingress.shares.begin(SERVICE, String(route));
+    const share = ingress.shares.select(SERVICE, String(route));
     sums.requests += now < durationMs ? 1 : 0;
     const tried = new Set<Node>();
     for (;;) {
-      const { preferred, usual = () => true } = share;
+      const { preferred, fallback = () => true } = share;
       const isUp = ({ version }: Node) => version === TARGET || state !== RolloutState.Completed;
       const able = nodes.filter((node) => !tried.has(node) && isUp(node) && node.running < SLOTS);
       const first = preferred ? able.filter(({ name }) => preferred(name)) : [];
-      const asked = first.length > 0 ? first : able.filter(({ name }) => usual(name));
+      const asked = first.length > 0 ? first : able.filter(({ name }) => fallback(name));
       const node = asked[Math.floor(random() * asked.length)];
       if (!node) {
         sums.refused += 1;
@@ -344,7 +348,7 @@
         start(node, passage, route);
         return;
       }
-      share.noteReturned(node.name);
+      share.noteUndelivered(node.name);
     }
   };
 
@@ -354,15 +358,15 @@
       service: SERVICE,
       version: node.version,
       route: String(route),
-      end: failed ? RunEnd.Failed : RunEnd.Answered,
+      result: failed ? RunResult.Failed : RunResult.Answered,
       tookMs: now - startedAt,
       isCold: false,
     });
-    passage.end(true);
+    passage.finish(true);
   };
 
   for (const { book } of nodes) {
-    book.takeOrder(order);
+    book.applyOrder(order);
   }
   for (; now < endAt && (state === RolloutState.Running || now <= durationMs); now += STEP_MS) {
     deliver();
@@ -379,7 +383,7 @@
       }
     });
     for (const node of nodes) {
-      node.book.noteCurrent();
+      node.book.markSynced();
       if (now % TICK_MS === node.phaseMs % TICK_MS) {
         const rollout = node.book.running(SERVICE);
         if (rollout) {
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -2,8 +2,8 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { RolloutObjects } from '../directory/rolloutStatus.js';
 import type { Finding } from '../model/finding.js';
-import { hasEnded } from '../rollout/rolloutBook.js';
 import { type RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
+import { hasEnded } from '../rollout/rolloutTracker.js';
 import {
   type ObjectStore,
   ReadConsistency,
--- a/src/directory/ownerWords.ts
+++ b/src/directory/ownerWords.ts
@@ -2,16 +2,16 @@
 import type { Clock } from '../model/clock.js';
 import type { PeerCaller } from '../peer/peerCaller.js';
 import { NewsTopic } from '../peer/peerMessages.js';
-import type { RunningRollout } from '../rollout/rolloutBook.js';
 import type { RolloutStep } from '../rollout/rolloutDecider.js';
 import {
-  type LimitNews,
-  listOfRolloutNews,
-  type RolloutNews,
-  RolloutNewsKind,
-} from '../rollout/rolloutNews.js';
+  encodeRolloutMessage,
+  type LimitMessage,
+  type RolloutMessage,
+  RolloutMessageKind,
+} from '../rollout/rolloutMessages.js';
 import { isLeased } from '../rollout/rolloutOrder.js';
-import type { RunLimit } from '../rollout/runGate.js';
+import type { RunningRollout } from '../rollout/rolloutTracker.js';
+import type { RunLimit } from '../rollout/runLimiter.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
@@ -31,7 +31,7 @@
   readonly directory: Pick<OwnerDirectory, 'ownersOf'>;
   readonly own: () => OwnerRecord;
   /** A limit of the owner here. */
-  readonly onOwnLimit: (news: LimitNews) => void;
+  readonly onOwnLimit: (news: LimitMessage) => void;
 }
 
 /** What each count of an owner was told last, and when. */
@@ -41,19 +41,19 @@
   /** Tells each owner of the plan its limit, if it is time to. */
   tellLimits(rollout: RunningRollout, step: RolloutStep, toldLimits: ToldLimits): void;
   /** Tells one owner something. */
-  tell(owner: OwnerEntry, news: RolloutNews): void;
+  tell(owner: OwnerEntry, news: RolloutMessage): void;
 }
 
 export function createOwnerWords(context: OwnerWordsContext): OwnerWords {
   const { clock, caller, directory, own, onOwnLimit } = context;
 
-  const tell = ({ record }: OwnerEntry, news: RolloutNews): void => {
-    const content = listOfRolloutNews(news);
+  const tell = ({ record }: OwnerEntry, news: RolloutMessage): void => {
+    const content = encodeRolloutMessage(news);
     const message = { topic: NewsTopic.RollOuts, content, passesOn: false };
     void caller.tell(record.address, message, TELL_TIMEOUT_MS);
   };
 
-  const tellOwner = (news: LimitNews): void => {
+  const tellOwner = (news: LimitMessage): void => {
     if (news.node === own().node) {
       onOwnLimit(news);
       return;
@@ -66,18 +66,18 @@
 
   return {
     tell,
-    tellLimits: ({ order, phase }, { limits, isUnlimited: isOpen }, toldLimits) => {
+    tellLimits: ({ order, phase }, { limits, isUnlimited }, toldLimits) => {
       const { service, id: orderId } = order;
       const now = clock.now();
       for (const { node, countId, limit } of limits) {
         const told = toldLimits.get(countId);
-        const isNew = told?.limit !== limit || told.isOpen !== isOpen;
-        const isUrgent = isLeased(phase) || told?.isOpen !== isOpen;
+        const isNew = told?.limit !== limit || told.isUnlimited !== isUnlimited;
+        const isUrgent = isLeased(phase) || told?.isUnlimited !== isUnlimited;
         const paceMs = isNew ? LIMIT_RENEWAL_MS : SAME_LIMIT_RENEWAL_MS;
         if ((isNew && isUrgent) || now - (told?.at ?? Number.NEGATIVE_INFINITY) >= paceMs) {
-          toldLimits.set(countId, { limit, isOpen, at: now });
-          const kind = RolloutNewsKind.Limit;
-          tellOwner({ kind, service, orderId, node, countId, limit, isOpen });
+          toldLimits.set(countId, { limit, isUnlimited, at: now });
+          const kind = RolloutMessageKind.Limit;
+          tellOwner({ kind, service, orderId, node, countId, limit, isUnlimited });
         }
       }
     },
--- a/src/directory/rolloutLog.ts
+++ b/src/directory/rolloutLog.ts
@@ -1,5 +1,5 @@
 /** What the log says of a roll-out's decision. */
-import { allowedNow } from '../rollout/exposure.js';
+import { budgetNow } from '../rollout/exposure.js';
 import type { RolloutStep } from '../rollout/rolloutDecider.js';
 import { RolloutPhase } from '../rollout/rolloutOrder.js';
 
@@ -18,7 +18,7 @@
     ...comparison,
     ...exposure,
     perSecond: Math.round(exposure.perSecond),
-    allowed: Math.floor(allowedNow(exposure)),
+    allowed: Math.floor(budgetNow(exposure)),
     limits: step.limits.map(({ limit }) => limit),
     isUnlimited: step.isUnlimited,
     isFenced,
--- a/src/directory/rolloutOrders.ts
+++ b/src/directory/rolloutOrders.ts
@@ -5,8 +5,8 @@
  */
 import type { Clock } from '../model/clock.js';
 import { createRecentNames } from '../model/recentNames.js';
-import type { RolloutBook } from '../rollout/rolloutBook.js';
 import type { RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
+import type { RolloutTracker } from '../rollout/rolloutTracker.js';
 import type { StoredObject } from '../source/object-store.js';
 import { mayBeLost } from '../source/storeRevision.js';
 import type { RestoreTurns } from './restoreTurns.js';
@@ -23,7 +23,7 @@
 /** What is needed of the node. */
 export interface RolloutOrdersContext {
   readonly clock: Clock;
-  readonly book: RolloutBook;
+  readonly book: RolloutTracker;
   readonly turns: RestoreTurns;
   readonly decode: (object: StoredObject<unknown>) => RolloutOrder | undefined;
   readonly write: (order: RolloutOrder, state: RolloutState) => void;
@@ -96,7 +96,7 @@
     }
     lost.delete(service);
     held.set(service, object);
-    if (isRestored ? book.takeRestored(order) : book.takeOrder(order)) {
+    if (isRestored ? book.applyRestoredOrder(order) : book.applyOrder(order)) {
       onTaken(order, revision);
     }
   };
@@ -121,7 +121,7 @@
   const lookAtStatus = (service: string): void => {
     const object = held.get(service);
     const order = object && decode(object);
-    const end = book.endOf(service);
+    const end = book.endStateOf(service);
     if (!order || !end || order.state === end) {
       turns.pass(service);
       rewriting.delete(service);
--- a/src/directory/rolloutReporter.test.ts
+++ b/src/directory/rolloutReporter.test.ts
@@ -1,8 +1,8 @@
 /** What an owner lets through to its back end under an order, without a network. */
 import { expect, it } from 'vitest';
-import { createRolloutBook } from '../rollout/rolloutBook.js';
-import { type LimitNews, RolloutNewsKind } from '../rollout/rolloutNews.js';
+import { type LimitMessage, RolloutMessageKind } from '../rollout/rolloutMessages.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from '../rollout/rolloutOrder.js';
+import { createRolloutTracker } from '../rollout/rolloutTracker.js';
 import type { OwnerEntry } from './owner-entry.js';
 import { createRolloutReporter } from './rolloutReporter.js';
 
@@ -24,7 +24,7 @@
   let now = 0;
   let countId = '';
   const clock = { now: () => now };
-  const book = createRolloutBook({ clock, staleMs: () => 3_000 });
+  const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
   const reporter = createRolloutReporter({
     clock,
     book,
@@ -43,18 +43,18 @@
     },
   });
   const takeOrder = (state = RolloutState.Running) => {
-    book.takeOrder({ ...ORDER, state });
+    book.applyOrder({ ...ORDER, state });
     reporter.reportPhase('desk');
   };
-  const allow = (limit: number, more: Partial<LimitNews> = {}) => {
-    const news: LimitNews = {
-      kind: RolloutNewsKind.Limit,
+  const allow = (limit: number, more: Partial<LimitMessage> = {}) => {
+    const news: LimitMessage = {
+      kind: RolloutMessageKind.Limit,
       service: 'desk',
       orderId: '1',
       node: 'node-1',
       countId,
       limit,
-      isOpen: false,
+      isUnlimited: false,
     };
     reporter.takeLimit({ ...news, ...more });
   };
@@ -83,7 +83,7 @@
   expect(passed()).toBe(0);
   allow(5);
   expect(passed()).toBe(2);
-  allow(5, { isOpen: true });
+  allow(5, { isUnlimited: true });
   expect(passed()).toBe(10);
 });
 
@@ -100,8 +100,8 @@
   const { reporter, takeOrder, allow, passed } = setUp();
   takeOrder();
   allow(2);
-  reporter.enter()?.end(false);
-  reporter.enter()?.end(true);
+  reporter.enter()?.finish(false);
+  reporter.enter()?.finish(true);
   expect(passed()).toBe(1);
 });
 
@@ -137,11 +137,11 @@
   expect(passed()).toBe(10);
   const phase = RolloutPhase.Shift;
   const word = { service: 'desk', orderId: '1', ageMs: 0, phase };
-  book.takePhase(word);
+  book.applyPhase(word);
   expect(passed()).toBe(0);
   const plan = { shares: new Map(), owners: new Set(['node-2']) };
-  book.takePhase({ ...word, plan: { ...plan, isFenced: false } });
+  book.applyPhase({ ...word, plan: { ...plan, isFenced: false } });
   expect(passed()).toBe(10);
-  book.takePhase({ ...word, plan: { ...plan, isFenced: true } });
+  book.applyPhase({ ...word, plan: { ...plan, isFenced: true } });
   expect(passed()).toBe(0);
 });
--- a/src/directory/rolloutReporter.ts
+++ b/src/directory/rolloutReporter.ts
@@ -3,16 +3,21 @@
 import type { Clock } from '../model/clock.js';
 import type { PeerCaller } from '../peer/peerCaller.js';
 import { NewsTopic } from '../peer/peerMessages.js';
-import { hasEnded, type RolloutBook, type RunningRollout } from '../rollout/rolloutBook.js';
 import {
-  type EvidenceNews,
-  type LimitNews,
-  listOfRolloutNews,
-  RolloutNewsKind,
-} from '../rollout/rolloutNews.js';
+  type EvidenceReport,
+  encodeRolloutMessage,
+  type LimitMessage,
+  RolloutMessageKind,
+} from '../rollout/rolloutMessages.js';
 import { isLeased, RolloutPhase, RolloutState } from '../rollout/rolloutOrder.js';
+import { hasEnded, type RolloutTracker, type RunningRollout } from '../rollout/rolloutTracker.js';
 import { type BackEndRun, createRunCounts, type RunCounts } from '../rollout/runCounts.js';
-import { createRunGate, OPEN_PASSAGE, type Passage, type RunGate } from '../rollout/runGate.js';
+import {
+  createRunLimiter,
+  type RunLimiter,
+  type RunPermit,
+  UNCONDITIONAL_PERMIT,
+} from '../rollout/runLimiter.js';
 import type { OwnerRecord } from './owner-entry.js';
 import type { RolloutElection } from './rolloutElection.js';
 
@@ -43,7 +48,7 @@
 /** What is needed of the node. */
 export interface RolloutReporterContext {
   readonly clock: Clock;
-  readonly book: RolloutBook;
+  readonly book: RolloutTracker;
   readonly election: RolloutElection;
   readonly caller: Pick<PeerCaller, 'tell'>;
   readonly own: () => OwnerRecord;
@@ -51,7 +56,7 @@
   /** True if all other owners of the service are known to have the version. */
   readonly isAlone: (service: string, version: string) => boolean;
   /** This node is the decider itself. */
-  readonly onOwnEvidence: (evidence: EvidenceNews) => void;
+  readonly onOwnEvidence: (evidence: EvidenceReport) => void;
 }
 
 export interface RolloutReporter {
@@ -62,17 +67,17 @@
   /** Tells the decider now, of a phase that is new here. */
   reportPhase(service: string): void;
   /** The decider's word on how many requests the back end here may get. */
-  takeLimit(news: LimitNews): void;
+  takeLimit(news: LimitMessage): void;
   /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
-  enter(): Passage | undefined;
+  enter(): RunPermit | undefined;
 }
 
 /** What is kept for an order that runs. */
 interface OrderCounts {
-  readonly begun: number;
+  readonly generation: number;
   readonly countId: string;
   readonly counts: RunCounts;
-  readonly gate: RunGate;
+  readonly gate: RunLimiter;
   readySince: number | undefined;
   reportedAt: number;
   reports: number;
@@ -84,17 +89,17 @@
 
   const countsOf = ({
     order: { service },
-    begun,
-  }: Pick<RunningRollout, 'order' | 'begun'>): OrderCounts => {
+    generation,
+  }: Pick<RunningRollout, 'order' | 'generation'>): OrderCounts => {
     const known = kept.get(service);
-    if (known?.begun === begun) {
+    if (known?.generation === generation) {
       return known;
     }
     const created: OrderCounts = {
-      begun,
+      generation,
       countId: randomUUID(),
       counts: createRunCounts(),
-      gate: createRunGate(),
+      gate: createRunLimiter(),
       readySince: undefined,
       reportedAt: Number.NEGATIVE_INFINITY,
       reports: 0,
@@ -117,13 +122,13 @@
     );
   };
 
-  const send = (evidence: EvidenceNews): void => {
+  const send = (evidence: EvidenceReport): void => {
     const decider = election.deciderOf(evidence.service);
     if (!decider || decider.isLocal) {
       onOwnEvidence(evidence);
       return;
     }
-    const content = listOfRolloutNews(evidence);
+    const content = encodeRolloutMessage(evidence);
     const news = { topic: NewsTopic.RollOuts, content, passesOn: false };
     void caller.tell(decider.record.address, news, TELL_TIMEOUT_MS).then((isTaken) => {
       if (!isTaken) {
@@ -148,7 +153,7 @@
     mine.reportedAt = now;
     mine.reports += 1;
     send({
-      kind: RolloutNewsKind.Evidence,
+      kind: RolloutMessageKind.Evidence,
       service: order.service,
       orderId: order.id,
       ageMs,
@@ -163,7 +168,7 @@
       isFenced: isFencedBy(order.service, version),
       taken: gate.taken,
       limit: gate.limit,
-      counts: counts.of(version),
+      counts: counts.countsFor(version),
     });
   };
 
@@ -187,7 +192,7 @@
    * for until then. An owner that has learnt of the order when it was completed has been told none, nor has one
    * yet whose version alone serves as the order comes.
    */
-  const gateOf = (service: string, version: string | undefined): RunGate | undefined => {
+  const gateOf = (service: string, version: string | undefined): RunLimiter | undefined => {
     const view = book.view(service);
     const isOfTarget = view !== undefined && version === view.order.targetVersion;
     if (!isOfTarget || view.ageMs >= view.order.durationMs) {
@@ -196,17 +201,17 @@
     if (hasEnded(view.order)) {
       const known = kept.get(service);
       const isCompleted = view.order.state === RolloutState.Completed;
-      return isCompleted && known?.begun === view.begun ? known.gate : undefined;
+      return isCompleted && known?.generation === view.generation ? known.gate : undefined;
     }
     const { gate } = countsOf(view);
-    return gate.isTold || !isAlone(service, view.order.targetVersion) ? gate : undefined;
+    return gate.hasLimit || !isAlone(service, view.order.targetVersion) ? gate : undefined;
   };
 
   return {
     noteRun: (run) => {
       const rollout = book.running(run.service);
       if (rollout) {
-        countsOf(rollout).counts.note(run, clock.now());
+        countsOf(rollout).counts.record(run, clock.now());
       }
     },
     report: (rollout) => {
@@ -227,30 +232,30 @@
         reportNow(rollout);
       }
     },
-    takeLimit: ({ service, orderId, node, countId, limit, isOpen }) => {
+    takeLimit: ({ service, orderId, node, countId, limit, isUnlimited }) => {
       const view = book.view(service);
       if (view?.order.id !== orderId || node !== own().node) {
         return;
       }
       const mine = countsOf(view);
       if (mine.countId === countId) {
-        mine.gate.allow({ limit, isOpen });
+        mine.gate.raiseLimit({ limit, isUnlimited });
       }
     },
     enter: () => {
       const { service, version } = backEnd();
       if (service === undefined) {
-        return OPEN_PASSAGE;
+        return UNCONDITIONAL_PERMIT;
       }
       if (isFencedBy(service, version)) {
         return undefined;
       }
       const gate = gateOf(service, version);
       if (!gate) {
-        return { end: reportIfIdle };
+        return { finish: reportIfIdle };
       }
-      return gate.enter()
-        ? { end: (hasArrived) => (hasArrived ? undefined : gate.giveBack()) }
+      return gate.tryAcquire()
+        ? { finish: (hasArrived) => (hasArrived ? undefined : gate.release()) }
         : undefined;
     },
   };
--- a/src/directory/rolloutSteering.test.ts
+++ b/src/directory/rolloutSteering.test.ts
@@ -1,14 +1,14 @@
 /** What a decider tells and writes, without a network: one of two that decide yields, and no phase is taken back. */
 import { describe, expect, it } from 'vitest';
 import { rankNames } from '../model/rendezvous.js';
-import { createRolloutBook } from '../rollout/rolloutBook.js';
 import {
-  type EvidenceNews,
-  type PhaseNews,
-  RolloutNewsKind,
-  readRolloutNews,
-} from '../rollout/rolloutNews.js';
+  decodeRolloutMessage,
+  type EvidenceReport,
+  type PhaseMessage,
+  RolloutMessageKind,
+} from '../rollout/rolloutMessages.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from '../rollout/rolloutOrder.js';
+import { createRolloutTracker } from '../rollout/rolloutTracker.js';
 import type { OwnerEntry } from './owner-entry.js';
 import { createRolloutSteering } from './rolloutSteering.js';
 
@@ -26,8 +26,8 @@
   let now = 0;
   let pending: RolloutState | undefined;
   const clock = { now: () => now };
-  const book = createRolloutBook({ clock, staleMs: () => 3_000 });
-  const told: PhaseNews[] = [];
+  const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
+  const told: PhaseMessage[] = [];
   const passedOn: string[] = [];
   const entries = [FIRST, SECOND].map((node) => ({
     record: { node, address: node, zone: 'zone-a' },
@@ -48,7 +48,7 @@
     broadcast: { tell: () => {} },
     caller: {
       tell: (address, { content }) => {
-        if (readRolloutNews(content)?.kind === RolloutNewsKind.Evidence) {
+        if (decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence) {
           passedOn.push(address);
         }
         return Promise.resolve(true);
@@ -60,12 +60,12 @@
     writer: () => ({ write: () => {}, pending: () => pending }),
     onPhase: (news) => {
       told.push(news);
-      book.takePhase(news);
+      book.applyPhase(news);
     },
     onOwnLimit: () => {},
     onChange: () => {},
   });
-  book.takeOrder(ORDER);
+  book.applyOrder(ORDER);
   const steer = () => {
     const rollout = book.running('desk');
     if (rollout) {
@@ -87,8 +87,8 @@
   };
 }
 
-const EVIDENCE: EvidenceNews = {
-  kind: RolloutNewsKind.Evidence,
+const EVIDENCE: EvidenceReport = {
+  kind: RolloutMessageKind.Evidence,
   service: 'desk',
   orderId: '1',
   ageMs: 0,
@@ -145,7 +145,7 @@
   const { book, steering, steer, told, write } = setUp(FIRST);
   const phase = { service: 'desk', orderId: '1', ageMs: 0, versions: [] };
   steering.takeEvidence(EVIDENCE);
-  book.takePhase({ ...phase, phase: RolloutPhase.Shift });
+  book.applyPhase({ ...phase, phase: RolloutPhase.Shift });
   write(RolloutState.Completed);
   steer();
   expect(told.filter((news) => news.phase === RolloutPhase.Watch)).toEqual([]);
--- a/src/directory/rolloutSteering.ts
+++ b/src/directory/rolloutSteering.ts
@@ -1,18 +1,17 @@
 import { rankNames } from '../model/rendezvous.js';
 import { NewsTopic } from '../peer/peerMessages.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
-import { hasEnded, type RolloutBook, type RunningRollout } from '../rollout/rolloutBook.js';
 import {
   createRolloutDecider,
   type RolloutDecider,
   type RolloutStep,
 } from '../rollout/rolloutDecider.js';
 import {
-  type EvidenceNews,
-  listOfRolloutNews,
-  type PhaseNews,
-  RolloutNewsKind,
-} from '../rollout/rolloutNews.js';
+  type EvidenceReport,
+  encodeRolloutMessage,
+  type PhaseMessage,
+  RolloutMessageKind,
+} from '../rollout/rolloutMessages.js';
 import {
   isLeased,
   type RolloutOrder,
@@ -20,6 +19,7 @@
   RolloutState,
 } from '../rollout/rolloutOrder.js';
 import { type RolloutPlan, shareOf } from '../rollout/rolloutPlan.js';
+import { hasEnded, type RolloutTracker, type RunningRollout } from '../rollout/rolloutTracker.js';
 import type { NewsBroadcast } from './newsBroadcast.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry } from './owner-entry.js';
@@ -56,7 +56,7 @@
 
 /** What is needed of the node. */
 export interface RolloutSteeringContext extends OwnerWordsContext {
-  readonly book: RolloutBook;
+  readonly book: RolloutTracker;
   readonly election: RolloutElection;
   readonly directory: Pick<OwnerDirectory, 'all' | 'ownersOf'>;
   readonly broadcast: Pick<NewsBroadcast, 'tell'>;
@@ -64,12 +64,12 @@
   readonly writer: () => RolloutStatusWriter;
   readonly bounds: () => ExposureBounds;
   /** A phase is told to all nodes: this one is to take it too. */
-  readonly onPhase: (news: PhaseNews) => void;
+  readonly onPhase: (news: PhaseMessage) => void;
   readonly onChange: (change: RolloutChange) => void;
 }
 
 export interface RolloutSteering {
-  takeEvidence(evidence: EvidenceNews): void;
+  takeEvidence(evidence: EvidenceReport): void;
   /** Decides and carries out, if that falls to this node. */
   steer(rollout: RunningRollout): void;
   /** A phase that another node has told. */
@@ -84,7 +84,7 @@
 
 /** What is kept for an order that runs. */
 interface OrderWork {
-  readonly begun: number;
+  readonly generation: number;
   readonly decider: RolloutDecider;
   toldAt: number;
   /** Owners whose version has been told with it. */
@@ -105,14 +105,14 @@
   /** Of the last write that the store took. */
   let storeMs = USUAL_STORE_MS;
 
-  const workOf = ({ order, begun }: RunningRollout): OrderWork => {
+  const workOf = ({ order, generation }: RunningRollout): OrderWork => {
     const { service, targetVersion } = order;
     const known = works.get(service);
-    if (known?.begun === begun) {
+    if (known?.generation === generation) {
       return known;
     }
     const created: OrderWork = {
-      begun,
+      generation,
       decider: createRolloutDecider(clock, targetVersion),
       toldAt: Number.NEGATIVE_INFINITY,
       toldVersions: 0,
@@ -133,26 +133,26 @@
       work.toldVersions = versions.length;
       work.plan = plan;
     }
-    const news: PhaseNews = {
-      kind: RolloutNewsKind.Phase,
+    const news: PhaseMessage = {
+      kind: RolloutMessageKind.Phase,
       service: order.service,
       orderId: order.id,
       phase,
-      decider: own().node,
+      leader: own().node,
       ageMs: book.running(order.service)?.ageMs ?? 0,
       versions,
       ...(plan ? { plan } : {}),
     };
     context.onPhase(news);
-    broadcast.tell(NewsTopic.RollOuts, listOfRolloutNews(news));
+    broadcast.tell(NewsTopic.RollOuts, encodeRolloutMessage(news));
   };
 
   /** Another node is to decide: the store refuses this one's writes. */
   const resign = (service: string): void => {
     const { node } = own();
-    const kind = RolloutNewsKind.Resignation;
+    const kind = RolloutMessageKind.Resignation;
     election.noteResigned(service, node);
-    broadcast.tell(NewsTopic.RollOuts, listOfRolloutNews({ kind, service, node }));
+    broadcast.tell(NewsTopic.RollOuts, encodeRolloutMessage({ kind, service, node }));
   };
 
   /**
@@ -209,7 +209,7 @@
     const { order, phase } = rollout;
     const work = workOf(rollout);
     const owners = ownersOf(order.service);
-    const isTold = election.isDecider(order.service) || work.decider.isTold(owners);
+    const isTold = election.isDecider(order.service) || work.decider.hasReportQuorum(owners);
     if (!isTold || deciderBefore(order.service)) {
       return;
     }
@@ -236,7 +236,7 @@
       if (rollout?.order.id === evidence.orderId) {
         book.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
         const work = workOf(rollout);
-        work.decider.take(evidence, book.running(evidence.service)?.ageMs ?? evidence.ageMs);
+        work.decider.addReport(evidence, book.running(evidence.service)?.ageMs ?? evidence.ageMs);
         // In the last step each moment sends the version all that comes.
         if (
           rollout.phase === RolloutPhase.Shift &&
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -10,11 +10,15 @@
 import type { PeerCaller } from '../peer/peerCaller.js';
 import { NewsTopic } from '../peer/peerMessages.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
-import { createRolloutBook, type RolloutBook } from '../rollout/rolloutBook.js';
-import { type PhaseNews, RolloutNewsKind, readRolloutNews } from '../rollout/rolloutNews.js';
+import {
+  decodeRolloutMessage,
+  type PhaseMessage,
+  RolloutMessageKind,
+} from '../rollout/rolloutMessages.js';
 import { RolloutPhase } from '../rollout/rolloutOrder.js';
+import { createRolloutTracker, type RolloutTracker } from '../rollout/rolloutTracker.js';
 import type { BackEndRun } from '../rollout/runCounts.js';
-import type { Passage } from '../rollout/runGate.js';
+import type { RunPermit } from '../rollout/runLimiter.js';
 import { type CollectionHandler, CollectionWatcher } from '../source/collection-watcher.js';
 import type { ObjectStore } from '../source/object-store.js';
 import type { NewsBroadcast } from './newsBroadcast.js';
@@ -56,18 +60,18 @@
 export interface RolloutSync {
   start(): void;
   stop(): void;
-  readonly book: RolloutBook;
+  readonly book: RolloutTracker;
   /** The back end here has ended a request. */
   noteRun(run: BackEndRun): void;
   /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
-  enter(): Passage | undefined;
+  enter(): RunPermit | undefined;
   /** The version of a node's back end by the decider's word. */
   toldVersion(node: string): string | undefined;
 }
 
 export function createRolloutSync(context: RolloutSyncContext): RolloutSync {
   const { clock, store, objects, directory, broadcast, own, contactMs, onChange } = context;
-  const book = createRolloutBook({ clock, staleMs: contactMs });
+  const book = createRolloutTracker({ clock, staleMs: contactMs });
   const election = createRolloutElection(context);
   const turns = createRestoreTurns({
     own: () => own().node,
@@ -76,11 +80,11 @@
   const toldVersions = new Map<string, string>();
   let ticking: NodeJS.Timeout | undefined;
 
-  const takePhase = (news: PhaseNews, from = 'own'): void => {
+  const takePhase = (news: PhaseMessage, from = 'own'): void => {
     for (const [node, version] of news.versions) {
       toldVersions.set(node, version);
     }
-    if (book.takePhase(news)) {
+    if (book.applyPhase(news)) {
       const { service, phase } = news;
       onChange({ service, change: 'phase', detail: { phase: RolloutPhase[phase], from } });
       reporter.reportPhase(service);
@@ -151,19 +155,19 @@
   };
 
   broadcast.listen(NewsTopic.RollOuts, (content, from) => {
-    const news = readRolloutNews(content);
+    const news = decodeRolloutMessage(content);
     switch (news?.kind) {
-      case RolloutNewsKind.Phase:
-        steering.noteDecider(news.service, news.decider);
+      case RolloutMessageKind.Phase:
+        steering.noteDecider(news.service, news.leader);
         takePhase(news, from);
         return;
-      case RolloutNewsKind.Evidence:
+      case RolloutMessageKind.Evidence:
         steering.takeEvidence(news);
         return;
-      case RolloutNewsKind.Limit:
+      case RolloutMessageKind.Limit:
         reporter.takeLimit(news);
         return;
-      case RolloutNewsKind.Resignation:
+      case RolloutMessageKind.Resignation:
         election.noteResigned(news.service, news.node);
         steering.noteResigned(news.service, news.node);
     }
@@ -174,7 +178,7 @@
     objects.kind,
     {
       onList: (listed, revision) => {
-        book.isListed = true;
+        book.isSynced = true;
         orders.takeList(listed, revision);
       },
       onChange: (object, gone, revision) => {
@@ -185,7 +189,7 @@
         }
       },
       onConnected: context.onConnected,
-      onUpToDate: () => book.noteCurrent(),
+      onUpToDate: () => book.markSynced(),
     },
     {
       get waitMs() {
--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -19,7 +19,11 @@
   QuarantineStatus,
   type RequestKey,
 } from '../quarantine/crashTracker.js';
-import { OPEN_SHARE, type RequestShare, type VersionShares } from '../rollout/versionShares.js';
+import {
+  UNRESTRICTED_SELECTION,
+  type VersionSelection,
+  type VersionSelector,
+} from '../rollout/versionSelector.js';
 import { type Attempt, SILENT, startAttempt } from './attempt.js';
 import type { ClientRefusal } from './client-answer.js';
 import {
@@ -60,7 +64,7 @@
   readonly offerLimit: OfferLimit;
   readonly ledger: CrashTracker;
   /** Left out where no roll-outs are followed. */
-  readonly shares?: VersionShares | undefined;
+  readonly shares?: VersionSelector | undefined;
 }
 
 /** One per request. */
@@ -80,7 +84,7 @@
   private mayHaveRun = false;
   private lastNotRun: OwnerNotRun | undefined;
   private readonly choice: OwnerChoice;
-  private readonly share: RequestShare;
+  private readonly share: VersionSelection;
   private readonly key: RequestKey;
   private readonly refusals: DispatchRefusals;
 
@@ -92,7 +96,7 @@
     bodyBytes: number,
     readonly mayServe?: OwnerWish['mayServe'],
   ) {
-    this.share = context.shares?.begin(task.service, task.route) ?? OPEN_SHARE;
+    this.share = context.shares?.select(task.service, task.route) ?? UNRESTRICTED_SELECTION;
     // One for each request: naming the fields costs a fraction of what spreading the context does.
     const { clock, directory, spill, returns, ledger } = context;
     const { share } = this;
@@ -267,9 +271,9 @@
 
   private noteShare({ record }: OwnerEntry, outcome: OwnerOutcome): void {
     if (outcome.kind === 'not-run' && !outcome.arrived) {
-      this.share.noteReturned(record.node);
+      this.share.noteUndelivered(record.node);
     } else if (outcome.kind !== 'answer' || outcome.status >= FIRST_FAILED_STATUS) {
-      this.share.noteBad(record.node);
+      this.share.noteFailure(record.node);
     }
   }
 
--- a/src/ingress/ownerChoice.ts
+++ b/src/ingress/ownerChoice.ts
@@ -3,7 +3,7 @@
 import type { OwnerEntry, OwnerRecord } from '../directory/owner-entry.js';
 import { LARGE_BODY_BYTES, type SpillAllowance } from '../directory/spillAllowance.js';
 import type { OwnerTask } from '../owner/owner.js';
-import type { RequestShare } from '../rollout/versionShares.js';
+import type { VersionSelection } from '../rollout/versionSelector.js';
 
 /**
  * Owners of the own zone that may be busy before the others are asked: in a zone of a dozen owners
@@ -23,7 +23,7 @@
   readonly bodyBytes: number;
   readonly mayServe: ((record: OwnerRecord) => boolean) | undefined;
   /** What a roll-out says of the service's versions. */
-  readonly share: RequestShare;
+  readonly share: VersionSelection;
 }
 
 /** What has become of the request so far. */
@@ -52,8 +52,8 @@
 
   const isPlaced = (record: OwnerRecord) => context.mayServe?.(record) ?? true;
   const checkNow = (): OwnerWish['mayServe'] => {
-    const { usual } = share;
-    return usual ? (record) => usual(record.node) && isPlaced(record) : context.mayServe;
+    const { fallback } = share;
+    return fallback ? (record) => fallback(record.node) && isPlaced(record) : context.mayServe;
   };
   /** A large body does not leave its zone for the sake of a version. */
   const firstCheckNow = (): OwnerWish['mayServe'] => {
--- a/src/owner/backEndRun.ts
+++ b/src/owner/backEndRun.ts
@@ -1,7 +1,7 @@
 /** What the end of a call says of the back end that ran it, as a roll-out counts it. */
 import type { BackEnd } from '../registry/back-end-registry.js';
 import { isSameIncarnation } from '../registry/backEndIncarnation.js';
-import { type BackEndRun, RunEnd } from '../rollout/runCounts.js';
+import { type BackEndRun, RunResult } from '../rollout/runCounts.js';
 import type { OwnerOutcome, OwnerTask } from './owner.js';
 
 const FIRST_FAILED_STATUS = 500;
@@ -23,23 +23,23 @@
 export function backEndRunOf(call: EndedCall): BackEndRun | undefined {
   const { task, present, outcome, tookMs, now } = call;
   const backEnd = present && isSameIncarnation(present, call.backEnd) ? present : call.backEnd;
-  const end = runEndOf(outcome);
-  return end === undefined
+  const result = runEndOf(outcome);
+  return result === undefined
     ? undefined
     : {
         service: backEnd.service,
         version: backEnd.version,
         route: task.route,
-        end,
+        result,
         tookMs,
         isCold: now < backEnd.coldUntil,
       };
 }
 
-function runEndOf(outcome: OwnerOutcome): RunEnd | undefined {
+function runEndOf(outcome: OwnerOutcome): RunResult | undefined {
   switch (outcome.kind) {
     case 'answer':
-      return outcome.status >= FIRST_FAILED_STATUS ? RunEnd.Failed : RunEnd.Answered;
+      return outcome.status >= FIRST_FAILED_STATUS ? RunResult.Failed : RunResult.Answered;
     case 'not-run':
       return undefined;
     case 'unknown':
@@ -49,10 +49,10 @@
 
 /** What was lost on the way to this node tells nothing. */
 const UNKNOWN_ENDS = {
-  'connection-lost': RunEnd.Lost,
-  'foreign-answer': RunEnd.Failed,
-  'spoilt-answer': RunEnd.Failed,
-  cancelled: RunEnd.Cut,
+  'connection-lost': RunResult.ConnectionLost,
+  'foreign-answer': RunResult.Failed,
+  'spoilt-answer': RunResult.Failed,
+  cancelled: RunResult.Cancelled,
   'peer-lost': undefined,
   'body-lost': undefined,
 } as const;
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -3,7 +3,7 @@
 import { QuarantineStatus } from '../quarantine/crashTracker.js';
 import type { BackEnd, Heartbeat } from '../registry/back-end-registry.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
-import { OPEN_PASSAGE } from '../rollout/runGate.js';
+import { UNCONDITIONAL_PERMIT } from '../rollout/runLimiter.js';
 import { AdmissionControl, type AdmissionRequest } from './admission-control.js';
 import { BackEndConnections } from './back-end-agent.js';
 import { BackEndPresence } from './back-end-presence.js';
@@ -136,13 +136,13 @@
     if (obstacle) {
       return turnedAway(obstacle);
     }
-    const { enter = () => OPEN_PASSAGE } = this.options;
+    const { enter = () => UNCONDITIONAL_PERMIT } = this.options;
     const passage = enter();
     if (!passage) {
       return turnedAway('busy', FENCED_RETRY_MS);
     }
     const outcome = await this.admit(task, times);
-    passage.end(outcome.kind !== 'not-run' || outcome.arrived);
+    passage.finish(outcome.kind !== 'not-run' || outcome.arrived);
     return outcome;
   }
 
--- a/src/owner/localOwnerOptions.ts
+++ b/src/owner/localOwnerOptions.ts
@@ -1,7 +1,7 @@
 /** What the owner on this machine is given at its start. */
 import type { BackEnd } from '../registry/back-end-registry.js';
 import type { BackEndRun } from '../rollout/runCounts.js';
-import type { Passage } from '../rollout/runGate.js';
+import type { RunPermit } from '../rollout/runLimiter.js';
 import type { BackEndPresenceOptions } from './back-end-presence.js';
 import type { BackEndObservationsContext } from './backEndObservations.js';
 import type { TaskRecord } from './owner-report.js';
@@ -19,5 +19,5 @@
   /** A tenant's fair share of a full back end, from 0 to 1: its rate limit over the sum of all tenants' limits. */
   readonly tenantShare?: TenantShare;
   /** Lets a request through to the back end; undefined while a roll-out gives it nothing new. */
-  readonly enter?: () => Passage | undefined;
+  readonly enter?: () => RunPermit | undefined;
 }
--- a/src/rollout/exposure.ts
+++ b/src/rollout/exposure.ts
@@ -23,14 +23,14 @@
 const LUCK = 1;
 
 /** What the version may have got by now: what is told late only makes it less. */
-export function allowedNow({ exposureShare, exposureSlack, requests }: Exposure): number {
+export function budgetNow({ exposureShare, exposureSlack, requests }: Exposure): number {
   return exposureShare * requests + exposureSlack;
 }
 
 /** What it may have got so much later, if requests go on as they come. */
-export function allowedIn(exposure: Exposure, ms: number): number {
+export function budgetAfter(exposure: Exposure, ms: number): number {
   const requests = exposure.requests + requestsIn(exposure, ms);
-  return allowedNow({ ...exposure, requests });
+  return budgetNow({ ...exposure, requests });
 }
 
 /** Requests that come in so many milliseconds. */
@@ -39,20 +39,20 @@
 }
 
 /** Requests that may come in so many milliseconds. */
-export function reserveFor(exposure: Exposure, ms: number): number {
+export function requestsWithMarginIn(exposure: Exposure, ms: number): number {
   const comes = requestsIn(exposure, ms);
   return comes + LUCK * Math.sqrt(comes);
 }
 
 /** True if the bound is likely to hold when all requests go to the version for so long, whatever it makes of them. */
-export function isPaid(exposure: Exposure, ms: number): boolean {
-  return exposure.taken + reserveFor(exposure, ms) <= allowedIn(exposure, ms);
+export function isWithinBudget(exposure: Exposure, ms: number): boolean {
+  return exposure.taken + requestsWithMarginIn(exposure, ms) <= budgetAfter(exposure, ms);
 }
 
 /** For how long all requests may go to the version; infinite where there are none. */
-export function paidMs(exposure: Exposure): number {
+export function affordableMs(exposure: Exposure): number {
   const { exposureShare, perSecond, taken } = exposure;
-  const left = Math.max(0, allowedNow(exposure) - taken);
+  const left = Math.max(0, budgetNow(exposure) - taken);
   const cost = 1 - exposureShare;
   const root = (Math.sqrt(LUCK ** 2 + 4 * cost * left) - LUCK) / (2 * cost);
   return perSecond > 0
--- a/src/rollout/exposureLimits.test.ts
+++ b/src/rollout/exposureLimits.test.ts
@@ -2,14 +2,14 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { createExposureLimits, type ExposureLimits } from './exposureLimits.js';
-import { type EvidenceNews, RolloutNewsKind } from './rolloutNews.js';
+import { type EvidenceReport, RolloutMessageKind } from './rolloutMessages.js';
 import { RolloutPhase } from './rolloutOrder.js';
 
 const NODES = ['a', 'b', 'c'];
 
-function tell(limits: ExposureLimits, node: string, more: Partial<EvidenceNews> = {}): void {
-  limits.take({
-    kind: RolloutNewsKind.Evidence,
+function tell(limits: ExposureLimits, node: string, more: Partial<EvidenceReport> = {}): void {
+  limits.addReport({
+    kind: RolloutMessageKind.Evidence,
     service: 'desk',
     orderId: '1',
     ageMs: 0,
@@ -30,14 +30,18 @@
 }
 
 /** So many requests more, for any owner, within a bound. */
-const allowance = (more: number, bound: number, moreEach = Number.POSITIVE_INFINITY) => ({
-  more,
-  moreEach,
-  bound,
+const allowance = (
+  additional: number,
+  budget: number,
+  additionalPerOwner = Number.POSITIVE_INFINITY,
+) => ({
+  additional,
+  additionalPerOwner,
+  budget,
 });
 
 const limitsOf = (limits: ExposureLimits, nodes = NODES) =>
-  limits.of(new Set(nodes)).map(({ limit }) => limit);
+  limits.limitsOf(new Set(nodes)).map(({ limit }) => limit);
 
 describe('ExposureLimits', () => {
   it('are as large for one owner as for the next', () => {
@@ -45,10 +49,10 @@
     for (const node of NODES) {
       tell(limits, node);
     }
-    limits.raise(new Set(NODES), allowance(9, 50));
+    limits.raiseLimits(new Set(NODES), allowance(9, 50));
     expect(limitsOf(limits)).toEqual([3, 3, 3]);
     tell(limits, 'a', { taken: 3, limit: 3 });
-    limits.raise(new Set(NODES), allowance(9, 50));
+    limits.raiseLimits(new Set(NODES), allowance(9, 50));
     expect(limitsOf(limits)).toEqual([6, 3, 3]);
   });
 
@@ -56,11 +60,11 @@
   it('leave something to owners that report later', () => {
     const limits = createExposureLimits();
     tell(limits, 'a');
-    limits.raise(new Set(NODES), allowance(20, 50, 4));
+    limits.raiseLimits(new Set(NODES), allowance(20, 50, 4));
     expect(limitsOf(limits)).toEqual([4]);
     tell(limits, 'b');
     tell(limits, 'c');
-    limits.raise(new Set(NODES), allowance(20, 50, 4));
+    limits.raiseLimits(new Set(NODES), allowance(20, 50, 4));
     expect(limitsOf(limits)).toEqual([4, 4, 4]);
   });
 
@@ -69,9 +73,9 @@
     for (const node of NODES) {
       tell(limits, node);
     }
-    limits.raise(new Set(NODES), allowance(Number.POSITIVE_INFINITY, 20));
+    limits.raiseLimits(new Set(NODES), allowance(Number.POSITIVE_INFINITY, 20));
     expect(limitsOf(limits).reduce((sum, limit) => sum + limit, 0)).toBe(20);
-    limits.raise(new Set(NODES), allowance(Number.POSITIVE_INFINITY, 19));
+    limits.raiseLimits(new Set(NODES), allowance(Number.POSITIVE_INFINITY, 19));
     expect(limitsOf(limits).reduce((sum, limit) => sum + limit, 0)).toBe(20);
   });
 
@@ -80,8 +84,8 @@
     tell(limits, 'a', { taken: 4, limit: 10 });
     tell(limits, 'a', { countId: 'a-2' });
     expect(limits.taken).toBe(4);
-    limits.raise(new Set(['a']), allowance(Number.POSITIVE_INFINITY, 25));
-    expect(limits.of(new Set(['a']))).toEqual([{ node: 'a', countId: 'a-2', limit: 15 }]);
+    limits.raiseLimits(new Set(['a']), allowance(Number.POSITIVE_INFINITY, 25));
+    expect(limits.limitsOf(new Set(['a']))).toEqual([{ node: 'a', countId: 'a-2', limit: 15 }]);
   });
 
   it('hold the bound in any order of reports, raises and restarts', () => {
@@ -103,8 +107,8 @@
           const limit = known.get(countId) ?? 0;
           tell(limits, node, { countId, limit, taken: Math.floor(limit * used) });
           highest = Math.max(highest, bound);
-          limits.raise(new Set(NODES), allowance(more, bound));
-          for (const told of limits.of(new Set(NODES))) {
+          limits.raiseLimits(new Set(NODES), allowance(more, bound));
+          for (const told of limits.limitsOf(new Set(NODES))) {
             known.set(told.countId, Math.max(known.get(told.countId) ?? 0, told.limit));
           }
           const sum = [...known.values()].reduce((total, each) => total + each, 0);
--- a/src/rollout/exposureLimits.ts
+++ b/src/rollout/exposureLimits.ts
@@ -1,5 +1,5 @@
 /** The decider's account of what the target version may get: the limits of its owners, which only rise. */
-import type { EvidenceNews } from './rolloutNews.js';
+import type { EvidenceReport } from './rolloutMessages.js';
 
 /** One owner's count that may take so many requests. */
 export interface OwnerLimit {
@@ -11,22 +11,22 @@
 /** What the owners of a version may take now. */
 export interface Allowance {
   /** Requests that they may take besides what they have taken. */
-  readonly more: number;
+  readonly additional: number;
   /** The most of these for any one of them: the others may come later. */
-  readonly moreEach: number;
+  readonly additionalPerOwner: number;
   /** What all limits that were ever given stay within. */
-  readonly bound: number;
+  readonly budget: number;
 }
 
 export interface ExposureLimits {
   /** A report of an owner with the target version. */
-  take(report: EvidenceNews): void;
+  addReport(report: EvidenceReport): void;
   /** Requests that the version has got, as far as told. */
   readonly taken: number;
   /** Raises the limits of these owners. */
-  raise(nodes: ReadonlySet<string>, allowance: Allowance): void;
+  raiseLimits(nodes: ReadonlySet<string>, allowance: Allowance): void;
   /** The present limits of these owners. */
-  of(nodes: ReadonlySet<string>): readonly OwnerLimit[];
+  limitsOf(nodes: ReadonlySet<string>): readonly OwnerLimit[];
 }
 
 interface Account {
@@ -46,7 +46,7 @@
     [...nodes].flatMap((node) => present.get(node) ?? []);
 
   return {
-    take: ({ node, countId, taken, limit }) => {
+    addReport: ({ node, countId, taken, limit }) => {
       const key = `${node} ${countId}`;
       const account = accounts.get(key) ?? { node, countId, taken: 0, limit: 0 };
       account.taken = Math.max(account.taken, taken);
@@ -58,13 +58,14 @@
     get taken() {
       return sumOf([...accounts.values()], ({ taken }) => taken);
     },
-    raise: (nodes, { more, moreEach, bound }) => {
+    raiseLimits: (nodes, { additional, additionalPerOwner, budget }) => {
       const owners = presentOf(nodes);
       const given = sumOf([...accounts.values()], ({ taken, limit }) => Math.max(taken, limit));
       const open = sumOf(owners, ({ taken, limit }) => Math.max(0, limit - taken));
-      share(Math.floor(Math.min(more - open, bound - given)), moreEach, owners);
+      share(Math.floor(Math.min(additional - open, budget - given)), additionalPerOwner, owners);
     },
-    of: (nodes) => presentOf(nodes).map(({ node, countId, limit }) => ({ node, countId, limit })),
+    limitsOf: (nodes) =>
+      presentOf(nodes).map(({ node, countId, limit }) => ({ node, countId, limit })),
   };
 }
 
--- a/src/rollout/failureCounts.test.ts
+++ b/src/rollout/failureCounts.test.ts
@@ -6,13 +6,13 @@
   readonly route?: string;
   readonly total: number;
   readonly bad?: number;
-  readonly madeMs?: number;
+  readonly reportedAtMs?: number;
 }
 
 function countsOf(reports: readonly Told[]) {
   const counts = createFailureCounts();
-  for (const { node, route = 'list', total, bad = 0, madeMs = 1_000 } of reports) {
-    counts.take({ node, route, outcomes: { total, bad }, madeMs });
+  for (const { node, route = 'list', total, bad = 0, reportedAtMs = 1_000 } of reports) {
+    counts.addReport({ node, route, outcomes: { total, bad }, reportedAtMs });
   }
   return counts;
 }
@@ -49,12 +49,12 @@
 
   it('does not doubt a version for what the others showed at the same moment', () => {
     const reports = [
-      { total: 380, madeMs: 1_000 },
-      { total: 20, bad: 8, madeMs: 5_000 },
+      { total: 380, reportedAtMs: 1_000 },
+      { total: 20, bad: 8, reportedAtMs: 5_000 },
     ];
-    const then = [...reports, { node: 'new-1', total: 8, bad: 3, madeMs: 5_200 }];
+    const then = [...reports, { node: 'new-1', total: 8, bad: 3, reportedAtMs: 5_200 }];
     expect(countsOf(then).doubt()).toBeUndefined();
-    const later = [...reports, { node: 'new-1', total: 8, bad: 3, madeMs: 9_000 }];
+    const later = [...reports, { node: 'new-1', total: 8, bad: 3, reportedAtMs: 9_000 }];
     expect(countsOf(later).doubt()).toBe('3 of 8 failed list');
   });
 
@@ -79,6 +79,6 @@
     const failing = { node: 'new-1', total: 6, bad: 4 };
     const counts = countsOf([OTHERS, failing, { node: 'new-2', total: 40 }]);
     expect(counts.chanceIfBad()).toBeCloseTo(0.895 ** 40, 6);
-    expect(counts.doubtOfMany()).toBeUndefined();
+    expect(counts.doubtBeyondOneNode()).toBeUndefined();
   });
 });
--- a/src/rollout/failureCounts.ts
+++ b/src/rollout/failureCounts.ts
@@ -2,7 +2,7 @@
  * Failures of a version since its order against what the others have shown at the same moments. Unlike a
  * sequential test it forgets nothing: it says whether a version may get more, not whether it is bad.
  */
-import { highestShareOf, NO_OUTCOMES, type Outcomes, sumOf } from './sequentialTest.js';
+import { NO_OUTCOMES, type Outcomes, shareUpperBound, sumOutcomes } from './sequentialTest.js';
 
 /**
  * A version is in doubt while it shows failures that are less likely than this at the others' share: one
@@ -41,15 +41,15 @@
   readonly route: string;
   readonly outcomes: Outcomes;
   /** Age of the order as it was made, in milliseconds. */
-  readonly madeMs: number;
+  readonly reportedAtMs: number;
 }
 
 export interface FailureCounts {
-  take(report: FailureReport): void;
+  addReport(report: FailureReport): void;
   /** The failures that are too many for a version as good as the others; undefined if there are none. */
   doubt(): string | undefined;
   /** The same, but for what a single machine in trouble would explain. */
-  doubtOfMany(): string | undefined;
+  doubtBeyondOneNode(): string | undefined;
   /** The node of the version without which nothing would speak against it: a machine in trouble, maybe. */
   suspect(): string | undefined;
   /** How often a version that fails a tenth more than the others shows so few failures: the likeliest route's. */
@@ -73,13 +73,13 @@
 export function createFailureCounts(): FailureCounts {
   const byRoute = new Map<string, Map<string, Spans>>();
 
-  const addTo = (route: string, { node = OTHERS, outcomes, madeMs }: FailureReport): void => {
+  const addTo = (route: string, { node = OTHERS, outcomes, reportedAtMs }: FailureReport): void => {
     const nodes = byRoute.get(route) ?? new Map<string, Spans>();
     byRoute.set(route, nodes);
     const spans = nodes.get(node) ?? new Map<number, Outcomes>();
     nodes.set(node, spans);
-    const span = Math.floor(madeMs / SPAN_MS);
-    spans.set(span, sumOf([spans.get(span) ?? NO_OUTCOMES, outcomes]));
+    const span = Math.floor(reportedAtMs / SPAN_MS);
+    spans.set(span, sumOutcomes([spans.get(span) ?? NO_OUTCOMES, outcomes]));
   };
 
   /** Until the next report. */
@@ -91,17 +91,19 @@
   };
 
   return {
-    take: (report) => {
+    addReport: (report) => {
       judged = undefined;
       addTo(report.route, report);
       addTo(ALL_ROUTES, report);
     },
     doubt: () => judgements().find(({ isCleared }) => !isCleared)?.text,
-    doubtOfMany: () =>
+    doubtBeyondOneNode: () =>
       judgements().find(({ isCleared, suspect }) => !isCleared && suspect === undefined)?.text,
     suspect: () => judgements().find(({ suspect }) => suspect !== undefined)?.suspect,
     chanceIfBad: () => {
-      const all = sumOf([...(byRoute.get(ALL_ROUTES) ?? [])].map(([, spans]) => wholeOf(spans)));
+      const all = sumOutcomes(
+        [...(byRoute.get(ALL_ROUTES) ?? [])].map(([, spans]) => wholeOf(spans)),
+      );
       const chances = judgements().map((judgement) =>
         chanceIfBadOn(judgement, byRoute.get(judgement.route) ?? new Map(), all.total),
       );
@@ -111,7 +113,7 @@
 }
 
 function wholeOf(spans: Spans | undefined): Outcomes {
-  return sumOf([...(spans?.values() ?? [])]);
+  return sumOutcomes([...(spans?.values() ?? [])]);
 }
 
 function targetsOf(nodes: ReadonlyMap<string, Spans>): [node: string, spans: Spans][] {
@@ -150,19 +152,19 @@
 }
 
 function add(all: readonly Expected[]): Expected {
-  return { ...sumOf(all), usual: all.reduce((sum, { usual }) => sum + usual, 0) };
+  return { ...sumOutcomes(all), usual: all.reduce((sum, { usual }) => sum + usual, 0) };
 }
 
 /** What the others showed about a span, or on the whole, whichever is worse. */
 function usualSharesOf(others: Spans): (span: number) => number {
-  const whole = highestShareOf(wholeOf(others), USUAL_FAILURES);
+  const whole = shareUpperBound(wholeOf(others), USUAL_FAILURES);
   const known = new Map<number, number>();
   const shareNear = (span: number) => {
     const near = Array.from(
       { length: 2 * SPANS_BESIDE + 1 },
       (_, index) => others.get(span - SPANS_BESIDE + index) ?? NO_OUTCOMES,
     );
-    return Math.max(whole, highestShareOf(sumOf(near), USUAL_FAILURES));
+    return Math.max(whole, shareUpperBound(sumOutcomes(near), USUAL_FAILURES));
   };
   return (span) => {
     const share = known.get(span) ?? shareNear(span);
@@ -197,7 +199,7 @@
   if (isRare && shown.bad === 0 && shown.total >= total * RARE_PART) {
     return 0;
   }
-  const worse = Math.min(1, highestShareOf(others, USUAL_FAILURES) + WORSE_BY);
+  const worse = Math.min(1, shareUpperBound(others, USUAL_FAILURES) + WORSE_BY);
   const oneMore = { total: shown.total, bad: shown.bad + 1, usual: shown.total * worse };
   return 1 - chanceOf(oneMore);
 }
--- a/src/rollout/rolloutPortions.ts
+++ b/src/rollout/phaseBudgets.ts
@@ -1,23 +1,23 @@
 /** How a roll-out spends its bound: what the watch and the ramp may use of it, and when the ramp begins. */
 
 import {
-  allowedIn,
-  allowedNow,
+  affordableMs,
+  budgetAfter,
+  budgetNow,
   type Exposure,
-  paidMs,
   requestsIn,
-  reserveFor,
+  requestsWithMarginIn,
 } from './exposure.js';
 import {
-  isQuestioned,
-  lastStepNeedsMs,
-  leastLastStepMs,
-  leftMs,
+  isInDoubt,
+  minShiftMs,
   RESERVE_MS,
   type RolloutFacts,
+  requiredShiftMs,
+  timeToDeadlineMs,
 } from './rolloutFacts.js';
 import { RolloutPhase } from './rolloutOrder.js';
-import { allEarlyRuns, isProvable, provingMs } from './rolloutProof.js';
+import { canBeProven, shiftWithProofMs, totalRunsBeforeShift } from './rolloutProof.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /** The last step begins so much sooner than it must, in milliseconds, where the bound pays for it. */
@@ -36,7 +36,7 @@
 const LEAST_RAMP_PART = 0.4;
 
 /** Requests on each route that the version must have finished in the ramp, as far as so many come. */
-export const RAMP_RUNS = 5;
+export const MIN_RAMP_RUNS = 5;
 
 /**
  * Watch and ramp use what the last step leaves of the bound, at least so many requests on each route. The watch
@@ -51,28 +51,28 @@
 const QUESTIONED_PART = 0.55;
 
 /** Time before the deadline at which the last step begins: in good time, if the bound pays for that. */
-export function lastStepMs(facts: RolloutFacts, exposure: Exposure): number {
-  if (isProvable(facts)) {
-    return provingMs(facts) + GOOD_TIME_MS;
+export function shiftStartMs(facts: RolloutFacts, exposure: Exposure): number {
+  if (canBeProven(facts)) {
+    return shiftWithProofMs(facts) + GOOD_TIME_MS;
   }
-  const needs = lastStepNeedsMs(facts);
-  return Math.max(needs, Math.min(needs + GOOD_TIME_MS, paidMs(exposure)));
+  const needs = requiredShiftMs(facts);
+  return Math.max(needs, Math.min(needs + GOOD_TIME_MS, affordableMs(exposure)));
 }
 
 /** Time before the deadline at which the ramp begins. */
 export function rampStartMs(facts: RolloutFacts): number {
   const { exposure } = facts;
-  const taken = exposure.taken + portionsOf(facts).ramp;
+  const taken = exposure.taken + phaseBudgetsOf(facts).ramp;
   const requests = exposure.requests + requestsIn(exposure, rampMs(facts));
-  return rampMs(facts) + lastStepMs(facts, { ...exposure, taken, requests });
+  return rampMs(facts) + shiftStartMs(facts, { ...exposure, taken, requests });
 }
 
 function rampMs(facts: RolloutFacts): number {
-  return portionsOf(facts).ramp > 0 ? RAMP_MS + facts.reportMs : 0;
+  return phaseBudgetsOf(facts).ramp > 0 ? RAMP_MS + facts.reportMs : 0;
 }
 
 /** Requests that the version is to have had when the ramp begins, and what it gets in the ramp. */
-interface Portions {
+interface PhaseBudgets {
   readonly watch: number;
   readonly ramp: number;
 }
@@ -81,16 +81,16 @@
  * What the last step needs of the bound is kept for it, but that watch and ramp bring what they must for a version
  * that the last step can prove.
  */
-export function portionsOf(facts: RolloutFacts): Portions {
+export function phaseBudgetsOf(facts: RolloutFacts): PhaseBudgets {
   const { exposure, routes, ageMs } = facts;
-  const untilDeadlineMs = Math.max(0, leftMs(facts));
-  const bound = allowedIn(exposure, untilDeadlineMs);
-  const isToBeProven = isProvable(facts);
+  const untilDeadlineMs = Math.max(0, timeToDeadlineMs(facts));
+  const bound = budgetAfter(exposure, untilDeadlineMs);
+  const isToBeProven = canBeProven(facts);
   // A last step that must pay for itself keeps more for its delays.
-  const keptMs = leastLastStepMs(facts) + (isToBeProven ? 0 : 2 * RESERVE_MS);
-  const lastStep = reserveFor(exposure, keptMs);
-  const least = isToBeProven ? allEarlyRuns(facts) : LEAST_RUNS * routes.length;
-  const questioned = isQuestioned(facts) ? allowedNow(exposure) * QUESTIONED_PART : 0;
+  const keptMs = minShiftMs(facts) + (isToBeProven ? 0 : 2 * RESERVE_MS);
+  const lastStep = requestsWithMarginIn(exposure, keptMs);
+  const least = isToBeProven ? totalRunsBeforeShift(facts) : LEAST_RUNS * routes.length;
+  const questioned = isInDoubt(facts) ? budgetNow(exposure) * QUESTIONED_PART : 0;
   const rest = Math.max(bound - lastStep, least, questioned);
   const usual = routes.reduce((sum, route) => sum + usualRampRuns(route), 0);
   const left = Math.min(RAMP_PART * rest, usual);
@@ -105,13 +105,13 @@
 /** A route with few requests gives the version a larger part of them, so that they are enough to judge by. */
 function usualRampRuns(route: RouteTraffic): number {
   const comes = requestsIn(route, RAMP_MS);
-  return Math.min(comes, Math.max(comes * RAMP_SHARE, RAMP_RUNS));
+  return Math.min(comes, Math.max(comes * RAMP_SHARE, MIN_RAMP_RUNS));
 }
 
 /** Requests of a route that the version gets in the ramp. */
 export function rampRuns(facts: RolloutFacts, route: RouteTraffic): number {
   const usual = facts.routes.reduce((sum, each) => sum + usualRampRuns(each), 0);
-  return usual > 0 ? (usualRampRuns(route) * portionsOf(facts).ramp) / usual : 0;
+  return usual > 0 ? (usualRampRuns(route) * phaseBudgetsOf(facts).ramp) / usual : 0;
 }
 
 /** Those that are yet to come. */
@@ -121,7 +121,7 @@
 }
 
 /** What the version has had when the ramp is over: the runs of one route do not use up those of another. */
-export function mostAfterRamp(facts: RolloutFacts): number {
+export function maxTakenAfterRamp(facts: RolloutFacts): number {
   const left = facts.routes.reduce((sum, route) => sum + rampRunsLeft(facts, route), 0);
   return facts.exposure.taken + left;
 }
--- a/src/rollout/rolloutAllowance.ts
+++ b/src/rollout/rolloutAllowance.ts
@@ -1,28 +1,28 @@
 /** What the version gets in a phase: a share of each route, and so many requests in all. */
 
-import { allowedIn, allowedNow, requestsIn } from './exposure.js';
+import { budgetAfter, budgetNow, requestsIn } from './exposure.js';
 import type { Allowance } from './exposureLimits.js';
-import { isLikelyGood, LAST_STEP_RUNS, missingInRamp } from './rolloutEvidence.js';
 import {
-  isOver,
-  isQuestioned,
-  isRestPaid,
-  leftMs,
-  type RolloutFacts,
-  untoldMs,
-} from './rolloutFacts.js';
-import { RolloutPhase } from './rolloutOrder.js';
-import { OTHER_ROUTES } from './rolloutPlan.js';
-import {
-  mostAfterRamp,
-  portionsOf,
+  maxTakenAfterRamp,
+  phaseBudgetsOf,
   RAMP_MS,
   RAMP_SHARE,
   rampRuns,
   rampRunsLeft,
   rampStartMs,
-} from './rolloutPortions.js';
-import { allEarlyRuns, earlyRuns, provenRuns } from './rolloutProof.js';
+} from './phaseBudgets.js';
+import { isLikelyGood, MIN_SHIFT_RUNS, undersampledRouteInRamp } from './rolloutEvidence.js';
+import {
+  isInDoubt,
+  isPastDeadline,
+  isRestWithinBudget,
+  type RolloutFacts,
+  timeToDeadlineMs,
+  unreportedMs,
+} from './rolloutFacts.js';
+import { RolloutPhase } from './rolloutOrder.js';
+import { OTHER_ROUTES } from './rolloutPlan.js';
+import { provenRuns, runsBeforeShift, totalRunsBeforeShift } from './rolloutProof.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /** In the watch each owner may take what comes in a second, and so many requests more. */
@@ -50,9 +50,9 @@
  * Which part of each route's requests looks for the version first: what is wanted of the watch is spread over
  * the routes and over the rest of the time.
  */
-export function sharesIn(phase: RolloutPhase, facts: RolloutFacts): ReadonlyMap<string, number> {
+export function sharesFor(phase: RolloutPhase, facts: RolloutFacts): ReadonlyMap<string, number> {
   const isNew = phase !== facts.phase;
-  if (phase === RolloutPhase.Ramp && (isNew || missingInRamp(facts) !== undefined)) {
+  if (phase === RolloutPhase.Ramp && (isNew || undersampledRouteInRamp(facts) !== undefined)) {
     const shares = facts.routes.map((route) => [route.route, rampShareOf(facts, route)] as const);
     return new Map([[OTHER_ROUTES, RAMP_SHARE], ...shares]);
   }
@@ -60,15 +60,15 @@
     const shares = facts.routes.map((route) => [route.route, lastShareOf(facts, route)] as const);
     return new Map([[OTHER_ROUTES, 1], ...shares]);
   }
-  const perEarlyRun = portionsOf(facts).watch / Math.max(1, allEarlyRuns(facts));
+  const perEarlyRun = phaseBudgetsOf(facts).watch / Math.max(1, totalRunsBeforeShift(facts));
   const toldMs = facts.reportMs + SHORTEST_WATCH_MS;
-  const restMs = Math.max(SHORTEST_WATCH_MS, leftMs(facts) - rampStartMs(facts) - toldMs);
+  const restMs = Math.max(SHORTEST_WATCH_MS, timeToDeadlineMs(facts) - rampStartMs(facts) - toldMs);
   const shareOf = (route: RouteTraffic) => {
-    if (isQuestioned(facts)) {
+    if (isInDoubt(facts)) {
       return questionedShareOf(route);
     }
     const comes = requestsIn(route, restMs);
-    const wanted = perEarlyRun * earlyRuns(facts, route);
+    const wanted = perEarlyRun * runsBeforeShift(facts, route);
     const share = comes > 0 ? (wanted - route.runs) / comes : 1;
     return Math.min(1, Math.max(LEAST_WATCH_SHARE, share));
   };
@@ -78,7 +78,7 @@
 
 /** Until the limits are lifted: a route that has shown enough leaves the rest to the others. */
 function lastShareOf(facts: RolloutFacts, { runs, phaseRuns }: RouteTraffic): number {
-  const isShown = runs >= provenRuns(facts) && phaseRuns >= LAST_STEP_RUNS;
+  const isShown = runs >= provenRuns(facts) && phaseRuns >= MIN_SHIFT_RUNS;
   return isShown && facts.comparison.failed === 0 ? LEAST_WATCH_SHARE : 1;
 }
 
@@ -88,34 +88,34 @@
 }
 
 /** What the version may get now: each phase pays for its own. */
-export function allowanceIn(phase: RolloutPhase, facts: RolloutFacts): Allowance {
+export function allowanceFor(phase: RolloutPhase, facts: RolloutFacts): Allowance {
   const { exposure, routes } = facts;
   const { taken } = exposure;
-  const bound = allowedNow(exposure);
-  const moreEach = Number.POSITIVE_INFINITY;
+  const budget = budgetNow(exposure);
+  const additionalPerOwner = Number.POSITIVE_INFINITY;
   switch (phase) {
     case RolloutPhase.Watch: {
-      const shares = sharesIn(phase, facts);
+      const shares = sharesFor(phase, facts);
       const perSecond = routes.reduce(
         (sum, route) => sum + route.perSecond * (shares.get(route.route) ?? 0),
         0,
       );
-      const more = portionsOf(facts).watch - taken;
-      return { more, moreEach: Math.ceil(perSecond) + LEAST_EACH, bound };
+      const additional = phaseBudgetsOf(facts).watch - taken;
+      return { additional, additionalPerOwner: Math.ceil(perSecond) + LEAST_EACH, budget };
     }
     case RolloutPhase.Ramp:
-      return { more: mostAfterRamp(facts) - taken, moreEach, bound };
+      return { additional: maxTakenAfterRamp(facts) - taken, additionalPerOwner, budget };
     case RolloutPhase.Halt:
-      return { more: 0, moreEach, bound };
+      return { additional: 0, additionalPerOwner, budget };
     // All requests go to the version from now on, and the bound pays for as many: for fewer it does so too.
     case RolloutPhase.Done:
       return {
-        more: Number.POSITIVE_INFINITY,
-        moreEach,
-        bound: allowedIn(exposure, untoldMs(facts)),
+        additional: Number.POSITIVE_INFINITY,
+        additionalPerOwner,
+        budget: budgetAfter(exposure, unreportedMs(facts)),
       };
     default:
-      return { more: Number.POSITIVE_INFINITY, moreEach, bound };
+      return { additional: Number.POSITIVE_INFINITY, additionalPerOwner, budget };
   }
 }
 
@@ -123,11 +123,11 @@
 export function isUnlimited(phase: RolloutPhase, facts: RolloutFacts): boolean {
   const isAlone = facts.targets === facts.owners;
   const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-  return isAlone || isOver(facts) || (isInLastStep && isLikelyGood(facts));
+  return isAlone || isPastDeadline(facts) || (isInLastStep && isLikelyGood(facts));
 }
 
 /** True if the others may take nothing new in the last step: the version's owners turn hardly anything away. */
-export function mayFence(phase: RolloutPhase, facts: RolloutFacts): boolean {
+export function canFenceOthers(phase: RolloutPhase, facts: RolloutFacts): boolean {
   const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-  return isInLastStep && (isUnlimited(phase, facts) || isRestPaid(facts));
+  return isInLastStep && (isUnlimited(phase, facts) || isRestWithinBudget(facts));
 }
--- a/src/rollout/rolloutDecider.test.ts
+++ b/src/rollout/rolloutDecider.test.ts
@@ -1,9 +1,9 @@
 /** One decider's view of its order, from the owners' reports, without a network. */
 import { describe, expect, it } from 'vitest';
-import type { RunningRollout } from './rolloutBook.js';
 import { createRolloutDecider } from './rolloutDecider.js';
-import { type EvidenceNews, RolloutNewsKind } from './rolloutNews.js';
+import { type EvidenceReport, RolloutMessageKind } from './rolloutMessages.js';
 import { RolloutPhase, RolloutState } from './rolloutOrder.js';
+import type { RunningRollout } from './rolloutTracker.js';
 import type { CountsByRoute, RouteCounts } from './runCounts.js';
 
 const OTHERS = ['old-1', 'old-2', 'old-3', 'old-4'];
@@ -26,7 +26,7 @@
   const durations = Array.from({ length: USUAL_CLASS + 8 }, () => 0);
   durations[USUAL_CLASS] = answered - slow;
   durations[USUAL_CLASS + SLOW_CLASSES] = slow;
-  return { answered, failed, lost: 0, durations, cuts: [] };
+  return { answered, failed, crashes: 0, durations, cancellations: [] };
 }
 
 function setUp() {
@@ -42,18 +42,18 @@
       id: '1',
       state: RolloutState.Running,
     },
-    begun: 1,
+    generation: 1,
     phase,
     phaseAgeMs: now - phaseSince,
     ageMs: now,
   });
   let reports = 0;
-  const tell = (node: string, counts: CountsByRoute, more: Partial<EvidenceNews> = {}) => {
+  const tell = (node: string, counts: CountsByRoute, more: Partial<EvidenceReport> = {}) => {
     const version = TARGETS.includes(node) ? 'v2' : 'v1';
     const runs = [...counts.values()].reduce((sum, each) => sum + each.answered + each.failed, 0);
     reports += 1;
-    const report: EvidenceNews = {
-      kind: RolloutNewsKind.Evidence,
+    const report: EvidenceReport = {
+      kind: RolloutMessageKind.Evidence,
       service: 'desk',
       orderId: '1',
       ageMs: now,
@@ -71,7 +71,7 @@
       counts,
       ...more,
     };
-    decider.take(report, now);
+    decider.addReport(report, now);
     return report;
   };
   const step = () => {
@@ -228,9 +228,9 @@
 
   it('is told by nobody where no owner of the service is up', () => {
     const { decider, tell } = setUp();
-    expect(decider.isTold({ up: [], contactMs: 3_000 })).toBe(false);
+    expect(decider.hasReportQuorum({ up: [], contactMs: 3_000 })).toBe(false);
     tell('old-1', new Map());
-    expect(decider.isTold({ up: ['old-1'], contactMs: 3_000 })).toBe(true);
+    expect(decider.hasReportQuorum({ up: ['old-1'], contactMs: 3_000 })).toBe(true);
   });
 
   it('keeps two orders apart', () => {
@@ -252,7 +252,7 @@
   const { decider, tell, step } = setUp();
   const early = tell('new-1', new Map([['read', countsOf(4, 0)]]));
   tell('new-1', new Map([['read', countsOf(9, 0)]]));
-  decider.take(early, 0);
+  decider.addReport(early, 0);
   tell('new-1', new Map([['read', countsOf(10, 0)]]));
   expect(step().facts.comparison.finished).toBe(10);
 });
--- a/src/rollout/rolloutDecider.ts
+++ b/src/rollout/rolloutDecider.ts
@@ -2,13 +2,13 @@
 import type { Clock } from '../model/clock.js';
 import type { ExposureBounds } from './exposure.js';
 import { createExposureLimits, type OwnerLimit } from './exposureLimits.js';
-import { allowanceIn, isUnlimited, mayFence, sharesIn } from './rolloutAllowance.js';
-import type { RunningRollout } from './rolloutBook.js';
+import { allowanceFor, canFenceOthers, isUnlimited, sharesFor } from './rolloutAllowance.js';
 import { decideRollout, type RolloutDecision } from './rolloutDecision.js';
 import type { RolloutFacts } from './rolloutFacts.js';
-import type { EvidenceNews } from './rolloutNews.js';
+import type { EvidenceReport } from './rolloutMessages.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
+import type { RunningRollout } from './rolloutTracker.js';
 import { createServiceTraffic } from './serviceTraffic.js';
 import { createVersionComparison } from './versionComparison.js';
 
@@ -24,7 +24,7 @@
 }
 
 /** What the decider knows of itself. */
-export interface RolloutOutside {
+export interface DeciderEnvironment {
   readonly bounds: ExposureBounds;
   /** Milliseconds that a call to the store takes. */
   readonly storeMs: number;
@@ -45,16 +45,16 @@
 /** Kept for one order. */
 export interface RolloutDecider {
   /** A report of an order that is so old, in milliseconds, as far as any node knows. */
-  take(report: EvidenceNews, orderAgeMs: number): void;
+  addReport(report: EvidenceReport, orderAgeMs: number): void;
   /** True if most owners have told this node lately. */
-  isTold(owners: ServiceOwners): boolean;
-  step(rollout: RunningRollout, owners: ServiceOwners, outside: RolloutOutside): RolloutStep;
+  hasReportQuorum(owners: ServiceOwners): boolean;
+  step(rollout: RunningRollout, owners: ServiceOwners, outside: DeciderEnvironment): RolloutStep;
   /** Version of each owner that has told it. */
   readonly versions: readonly (readonly [node: string, version: string])[];
 }
 
 interface Heard {
-  readonly report: EvidenceNews;
+  readonly report: EvidenceReport;
   readonly at: number;
   /** How much younger the order was when it was made, in milliseconds, or its maker has learnt of it later. */
   readonly lateMs: number;
@@ -83,11 +83,11 @@
   const heardLately = (): Heard[] =>
     [...heard.values()].filter(({ at }) => clock.now() - at <= REPORT_LIFETIME_MS);
 
-  const lately = (): EvidenceNews[] => heardLately().map(({ report }) => report);
+  const lately = (): EvidenceReport[] => heardLately().map(({ report }) => report);
 
   /** Owners that are up and of whom it isn't known that they run nothing on another version. */
   const busyOthers = (
-    reports: readonly EvidenceNews[],
+    reports: readonly EvidenceReport[],
     { up, contactMs }: ServiceOwners,
   ): number => {
     const now = clock.now();
@@ -104,7 +104,7 @@
   };
 
   /** Reports of owners whose back end has the version and is ready. */
-  const targetsOf = (reports: readonly EvidenceNews[]): EvidenceNews[] =>
+  const targetsOf = (reports: readonly EvidenceReport[]): EvidenceReport[] =>
     reports.filter(({ version, readyMs }) => version === targetVersion && readyMs !== undefined);
 
   /** Those that are to get requests: one that may be a machine in trouble shows nothing of the version. */
@@ -117,7 +117,7 @@
   const factsOf = (
     { phase, phaseAgeMs, ageMs, order }: RunningRollout,
     owners: ServiceOwners,
-    { bounds, storeMs }: RolloutOutside,
+    { bounds, storeMs }: DeciderEnvironment,
   ): RolloutFacts => {
     const reports = lately();
     const targets = targetsOf(reports);
@@ -157,7 +157,7 @@
   };
 
   return {
-    take: (report, orderAgeMs) => {
+    addReport: (report, orderAgeMs) => {
       const now = clock.now();
       const { node, countId, sequence, version, counts, ageMs, phase } = report;
       const key = `${node} ${countId}`;
@@ -173,28 +173,28 @@
       }
       const isTarget = version === targetVersion;
       const isCompared = phase !== RolloutPhase.Shift;
-      comparison.take({ node, countId, isTarget, counts, madeMs: ageMs, isCompared });
-      traffic.take(report, isTarget, now);
+      comparison.addReport({ node, countId, isTarget, counts, reportedAtMs: ageMs, isCompared });
+      traffic.addReport(report, isTarget, now);
       if (isTarget) {
-        limits.take(report);
+        limits.addReport(report);
       }
     },
-    isTold: ({ up }) => up.length > 0 && lately().length >= up.length * TOLD_SHARE,
+    hasReportQuorum: ({ up }) => up.length > 0 && lately().length >= up.length * TOLD_SHARE,
     step: (rollout, owners, outside) => {
       comparison.step(areOthersServing(rollout), clock.now());
       const facts = factsOf(rollout, owners, outside);
       const decision = decideRollout(facts);
       const { phase } = decision;
       const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-      isFenced = isInLastStep && (isFenced || mayFence(phase, facts));
+      isFenced = isInLastStep && (isFenced || canFenceOthers(phase, facts));
       const agesMs = heardLately().map(({ at }) => clock.now() - at);
       const nodes = planned(targetsOf(lately()).map(({ node }) => node));
-      limits.raise(nodes, allowanceIn(decision.phase, facts));
+      limits.raiseLimits(nodes, allowanceFor(decision.phase, facts));
       return {
         ...decision,
         facts,
-        plan: { shares: sharesIn(decision.phase, facts), owners: nodes, isFenced },
-        limits: limits.of(nodes),
+        plan: { shares: sharesFor(decision.phase, facts), owners: nodes, isFenced },
+        limits: limits.limitsOf(nodes),
         isUnlimited: isUnlimited(decision.phase, facts),
         newestEvidenceMs: agesMs.length > 0 ? Math.min(...agesMs) : undefined,
         oldestEvidenceMs: agesMs.length > 0 ? Math.max(...agesMs) : undefined,
--- a/src/rollout/rolloutDecision.test.ts
+++ b/src/rollout/rolloutDecision.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { allowanceIn, isUnlimited, sharesIn } from './rolloutAllowance.js';
+import { allowanceFor, isUnlimited, sharesFor } from './rolloutAllowance.js';
 import { decideRollout } from './rolloutDecision.js';
 import type { RolloutFacts } from './rolloutFacts.js';
 import { RolloutPhase } from './rolloutOrder.js';
@@ -214,19 +214,23 @@
   it('asks more of the requests on a route that has few', () => {
     const routes = onRoutes({ requests: 40, perSecond: 4, runs: 2 });
     const facts = { ...FACTS, ageMs: 6_000, routes };
-    const shares = sharesIn(RolloutPhase.Watch, facts);
+    const shares = sharesFor(RolloutPhase.Watch, facts);
     expect(shares.get('list') ?? 0).toBeGreaterThan(2 * (shares.get('read') ?? 0));
-    const ramp = sharesIn(RolloutPhase.Ramp, facts);
+    const ramp = sharesFor(RolloutPhase.Ramp, facts);
     expect(ramp.get('list')).toBeGreaterThan(ramp.get('read') ?? 1);
   });
 
   it('pays for the ramp apart from the last step, and gives nothing more in the end', () => {
-    const ramp = allowanceIn(RolloutPhase.Ramp, { ...FACTS, phase: RolloutPhase.Ramp, routes: [] });
-    expect(ramp.more).toBe(0);
-    expect(allowanceIn(RolloutPhase.Ramp, FACTS).more).toBeLessThan(30);
-    expect(allowanceIn(RolloutPhase.Halt, FACTS).more).toBe(0);
+    const ramp = allowanceFor(RolloutPhase.Ramp, {
+      ...FACTS,
+      phase: RolloutPhase.Ramp,
+      routes: [],
+    });
+    expect(ramp.additional).toBe(0);
+    expect(allowanceFor(RolloutPhase.Ramp, FACTS).additional).toBeLessThan(30);
+    expect(allowanceFor(RolloutPhase.Halt, FACTS).additional).toBe(0);
     for (const phase of [RolloutPhase.Watch, RolloutPhase.Ramp, RolloutPhase.Shift]) {
-      expect(allowanceIn(phase, FACTS).bound).toBe(130);
+      expect(allowanceFor(phase, FACTS).budget).toBe(130);
     }
   });
 
@@ -255,9 +259,9 @@
       { ...LIST, phaseRuns: 0 },
     ];
     const ramp = { ...FACTS, ...RAMPED, routes };
-    const { more } = allowanceIn(RolloutPhase.Ramp, ramp);
-    const shares = sharesIn(RolloutPhase.Ramp, ramp);
-    expect(more).toBeGreaterThanOrEqual(3);
+    const { additional } = allowanceFor(RolloutPhase.Ramp, ramp);
+    const shares = sharesFor(RolloutPhase.Ramp, ramp);
+    expect(additional).toBeGreaterThanOrEqual(3);
     expect(shares.get('list')).toBeGreaterThan(0.05);
     expect(shares.get('read')).toBe(0.01);
   });
--- a/src/rollout/rolloutDecision.ts
+++ b/src/rollout/rolloutDecision.ts
@@ -8,25 +8,31 @@
  * the version must have proved itself on each route first.
  */
 
-import { allowedNow, isPaid, requestsIn } from './exposure.js';
+import { budgetNow, isWithinBudget, requestsIn } from './exposure.js';
+import {
+  maxTakenAfterRamp,
+  phaseBudgetsOf,
+  RAMP_MS,
+  rampStartMs,
+  shiftStartMs,
+} from './phaseBudgets.js';
 import {
   isLikelyGood,
-  missingInLastStep,
-  missingInRamp,
-  missingInWatch,
+  undersampledRouteInRamp,
+  undersampledRouteInShift,
+  undersampledRouteInWatch,
 } from './rolloutEvidence.js';
 import {
-  DOUBT,
-  isOver,
-  isRestPaid,
-  lastStepNeedsMs,
-  leastLastStepMs,
-  leftMs,
+  DOUBT_WEIGHT,
+  isPastDeadline,
+  isRestWithinBudget,
+  minShiftMs,
   type RolloutFacts,
+  requiredShiftMs,
+  timeToDeadlineMs,
 } from './rolloutFacts.js';
 import { RolloutPhase } from './rolloutOrder.js';
-import { lastStepMs, mostAfterRamp, portionsOf, RAMP_MS, rampStartMs } from './rolloutPortions.js';
-import { isProvable, isProven } from './rolloutProof.js';
+import { canBeProven, isProven } from './rolloutProof.js';
 import type { ComparisonSummary } from './versionComparison.js';
 
 /** A version that has come late is watched for this part of the duration after it has come, ... */
@@ -78,9 +84,12 @@
   const { phase, exposure } = facts;
   const taken = Math.max(
     exposure.taken,
-    phase === RolloutPhase.Ramp ? mostAfterRamp(facts) : portionsOf(facts).watch,
+    phase === RolloutPhase.Ramp ? maxTakenAfterRamp(facts) : phaseBudgetsOf(facts).watch,
+  );
+  return (
+    isPastDeadline(facts) ||
+    isWithinBudget({ ...exposure, taken }, Math.max(0, timeToDeadlineMs(facts)))
   );
-  return isOver(facts) || isPaid({ ...exposure, taken }, Math.max(0, leftMs(facts)));
 }
 
 /**
@@ -89,16 +98,17 @@
  */
 function isDoubtedAtDeadline(facts: RolloutFacts): boolean {
   const { phase, comparison, ageMs, durationMs } = facts;
-  const isLastMoment = leftMs(facts) <= leastLastStepMs(facts) && ageMs < durationMs;
+  const isLastMoment = timeToDeadlineMs(facts) <= minShiftMs(facts) && ageMs < durationMs;
   const { weight, weightWithoutOne, comparedDoubt } = comparison;
   const isDoubted =
-    (weight >= DOUBT && weightWithoutOne >= DOUBT_WITHOUT_ONE) || comparedDoubt !== undefined;
+    (weight >= DOUBT_WEIGHT && weightWithoutOne >= DOUBT_WITHOUT_ONE) ||
+    comparedDoubt !== undefined;
   return phase === RolloutPhase.Watch && isLastMoment && isDoubted;
 }
 
 /** A machine in trouble whose failures are all there are is no doubt of the version. */
 function isWeighty({ weight, weightWithoutOne, suspect }: ComparisonSummary): boolean {
-  return weight >= DOUBT && (suspect === undefined || weightWithoutOne >= DOUBT_WITHOUT_ONE);
+  return weight >= DOUBT_WEIGHT && (suspect === undefined || weightWithoutOne >= DOUBT_WITHOUT_ONE);
 }
 
 /** Why the version must not get more than a small share now, if so. */
@@ -125,25 +135,25 @@
 
 function afterWatch(facts: RolloutFacts): RolloutDecision {
   const watched = (reason: string) => ({ phase: RolloutPhase.Watch, reason });
-  if (leftMs(facts) > rampStartMs(facts) || facts.ageMs < lateStartMs(facts)) {
+  if (timeToDeadlineMs(facts) > rampStartMs(facts) || facts.ageMs < lateStartMs(facts)) {
     return watched('being watched');
   }
-  const missing = missingInWatch(facts);
+  const missing = undersampledRouteInWatch(facts);
   // At the last moment the ramp brings the evidence that the watch has not, and the bound pays for the rest.
-  if (missing !== undefined && leftMs(facts) > RAMP_MS + lastStepNeedsMs(facts)) {
+  if (missing !== undefined && timeToDeadlineMs(facts) > RAMP_MS + requiredShiftMs(facts)) {
     return watched(`too little evidence of ${missing}`);
   }
   if (isTooLate(facts)) {
     return watched('the last step cannot be over in time');
   }
-  return portionsOf(facts).ramp > 0
+  return phaseBudgetsOf(facts).ramp > 0
     ? { phase: RolloutPhase.Ramp, reason: 'watched long enough' }
     : afterRamp(facts);
 }
 
 function afterRamp(facts: RolloutFacts): RolloutDecision {
   const ramped = (reason: string) => ({ phase: facts.phase, reason });
-  const missing = missingInRamp(facts);
+  const missing = undersampledRouteInRamp(facts);
   if (missing !== undefined) {
     return ramped(`waits for reports of ${missing}`);
   }
@@ -153,7 +163,7 @@
   if (mayBegin(facts)) {
     return { phase: RolloutPhase.Shift, reason: 'well at the larger share' };
   }
-  if (isProvable(facts) && leftMs(facts) <= lastStepMs(facts, facts.exposure)) {
+  if (canBeProven(facts) && timeToDeadlineMs(facts) <= shiftStartMs(facts, facts.exposure)) {
     return { phase: RolloutPhase.Shift, reason: 'well at the larger share, to be proven' };
   }
   return ramped('too early for the bound');
@@ -161,19 +171,19 @@
 
 /** After the deadline no bound holds any longer: until then all requests would go to the version for nothing. */
 function isTooLate(facts: RolloutFacts): boolean {
-  const left = leftMs(facts);
-  return left > 0 && left < leastLastStepMs(facts);
+  const left = timeToDeadlineMs(facts);
+  return left > 0 && left < minShiftMs(facts);
 }
 
 function afterShift(facts: RolloutFacts): RolloutDecision {
   const { phase, busyOthers, exposure, isFenced } = facts;
-  const isSafe = isRestPaid(facts) || isProven(facts);
+  const isSafe = isRestWithinBudget(facts) || isProven(facts);
   const least = requestsIn(exposure, LEAST_LEFT_MS);
-  const isHeld = !isSafe && !isLikelyGood(facts) && leftMs(facts) > 0;
-  if (isHeld && isFenced && allowedNow(exposure) - exposure.taken < least) {
+  const isHeld = !isSafe && !isLikelyGood(facts) && timeToDeadlineMs(facts) > 0;
+  if (isHeld && isFenced && budgetNow(exposure) - exposure.taken < least) {
     return { phase: RolloutPhase.Watch, reason: 'nothing is left of the bound' };
   }
-  const missing = missingInLastStep(facts);
+  const missing = undersampledRouteInShift(facts);
   if (missing !== undefined) {
     return { phase, reason: `waits for reports of ${missing}` };
   }
--- a/src/rollout/rolloutEvidence.ts
+++ b/src/rollout/rolloutEvidence.ts
@@ -1,10 +1,16 @@
 /** Which evidence a phase of a roll-out still lacks, route by route. */
 
 import { requestsIn } from './exposure.js';
+import { MIN_RAMP_RUNS, phaseBudgetsOf, rampRuns } from './phaseBudgets.js';
 import type { RolloutFacts } from './rolloutFacts.js';
 import { RolloutPhase } from './rolloutOrder.js';
-import { portionsOf, RAMP_RUNS, rampRuns } from './rolloutPortions.js';
-import { allEarlyRuns, EXPECTED_PART, earlyRuns, hasShown, provingRuns } from './rolloutProof.js';
+import {
+  EXPECTED_ARRIVAL_SHARE,
+  hasEvidenceOf,
+  likelyGoodRuns,
+  runsBeforeShift,
+  totalRunsBeforeShift,
+} from './rolloutProof.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /**
@@ -14,7 +20,7 @@
 const WATCH_RUNS = 12;
 
 /** The same in the last step, as far as so many come. */
-export const LAST_STEP_RUNS = 10;
+export const MIN_SHIFT_RUNS = 10;
 
 /** The last step brings its evidence within about so long, in milliseconds. */
 const LAST_STEP_MS = 400;
@@ -24,26 +30,28 @@
 
 /** True for a version that has shown in the last step as well that it is hardly a bad one. */
 export function isLikelyGood(facts: RolloutFacts): boolean {
-  return hasShown(facts, provingRuns(facts)) && missingInLastStep(facts) === undefined;
+  return (
+    hasEvidenceOf(facts, likelyGoodRuns(facts)) && undersampledRouteInShift(facts) === undefined
+  );
 }
 
-export function missingInRamp(facts: RolloutFacts): string | undefined {
+export function undersampledRouteInRamp(facts: RolloutFacts): string | undefined {
   if (facts.phase !== RolloutPhase.Ramp) {
     return undefined;
   }
-  return missingOfPhase(facts, (route) => rampRuns(facts, route), RAMP_RUNS);
+  return missingOfPhase(facts, (route) => rampRuns(facts, route), MIN_RAMP_RUNS);
 }
 
-export function missingInLastStep(facts: RolloutFacts): string | undefined {
-  return missingOfPhase(facts, (route) => requestsIn(route, LAST_STEP_MS), LAST_STEP_RUNS);
+export function undersampledRouteInShift(facts: RolloutFacts): string | undefined {
+  return missingOfPhase(facts, (route) => requestsIn(route, LAST_STEP_MS), MIN_SHIFT_RUNS);
 }
 
 /** The first route of which the version has finished too few requests, of so many and of what there was. */
-export function missingInWatch(facts: RolloutFacts): string | undefined {
-  const perEarlyRun = portionsOf(facts).watch / Math.max(1, allEarlyRuns(facts));
+export function undersampledRouteInWatch(facts: RolloutFacts): string | undefined {
+  const perEarlyRun = phaseBudgetsOf(facts).watch / Math.max(1, totalRunsBeforeShift(facts));
   const isMissing = (route: RouteTraffic) => {
-    const planned = perEarlyRun * earlyRuns(facts, route) * WATCHED_PART;
-    return route.runs < Math.min(WATCH_RUNS, planned, route.requests * EXPECTED_PART);
+    const planned = perEarlyRun * runsBeforeShift(facts, route) * WATCHED_PART;
+    return route.runs < Math.min(WATCH_RUNS, planned, route.requests * EXPECTED_ARRIVAL_SHARE);
   };
   return facts.routes.find(isMissing)?.route;
 }
@@ -55,6 +63,6 @@
   wanted: number,
 ): string | undefined {
   const isMissing = (each: RouteTraffic) =>
-    each.phaseRuns < Math.min(wanted, Math.floor(comes(each) * EXPECTED_PART));
+    each.phaseRuns < Math.min(wanted, Math.floor(comes(each) * EXPECTED_ARRIVAL_SHARE));
   return routes.find(isMissing)?.route;
 }
--- a/src/rollout/rolloutFacts.ts
+++ b/src/rollout/rolloutFacts.ts
@@ -1,6 +1,6 @@
 /** What the decider of a roll-out knows, and the time that the last step needs. Times in milliseconds. */
 
-import { type Exposure, isPaid } from './exposure.js';
+import { type Exposure, isWithinBudget } from './exposure.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 import type { ComparisonSummary } from './versionComparison.js';
@@ -15,10 +15,10 @@
 export const RESERVE_MS = 300;
 
 /** Evidence against the version with which it gets nothing more for now, though it isn't bad yet. */
-export const DOUBT = 4;
+export const DOUBT_WEIGHT = 4;
 
 /** Owners with the version report about so often in the last step, in milliseconds. */
-export const REPORT_PACE_MS = 100;
+export const REPORT_INTERVAL_MS = 100;
 
 /** What the decider knows. Times are in milliseconds. */
 export interface RolloutFacts {
@@ -55,37 +55,38 @@
 }
 
 /** Milliseconds until the deadline; the order may have been learnt of late. */
-export function leftMs({ durationMs, ageMs, storeMs }: RolloutFacts): number {
+export function timeToDeadlineMs({ durationMs, ageMs, storeMs }: RolloutFacts): number {
   return durationMs - ageMs - storeMs;
 }
 
 /** Time that the last step needs for its end, with nothing in reserve. */
-export function leastLastStepMs({ reportMs, othersEndMs, storeMs }: RolloutFacts): number {
+export function minShiftMs({ reportMs, othersEndMs, storeMs }: RolloutFacts): number {
   return TURN_MS + reportMs + othersEndMs + storeMs;
 }
 
-export function lastStepNeedsMs(facts: RolloutFacts): number {
-  return leastLastStepMs(facts) + RESERVE_MS;
+export function requiredShiftMs(facts: RolloutFacts): number {
+  return minShiftMs(facts) + RESERVE_MS;
 }
 
 /** What speaks against the version, but not enough, is to be settled soon. */
-export function isQuestioned({ comparison }: RolloutFacts): boolean {
-  return comparison.doubt !== undefined || comparison.weight >= DOUBT;
+export function isInDoubt({ comparison }: RolloutFacts): boolean {
+  return comparison.doubt !== undefined || comparison.weight >= DOUBT_WEIGHT;
 }
 
 /** The bound holds until the deadline. */
-export function isOver({ ageMs, durationMs }: RolloutFacts): boolean {
+export function isPastDeadline({ ageMs, durationMs }: RolloutFacts): boolean {
   return ageMs >= durationMs;
 }
 
 /** Time until the deadline, with that of the last step of which nothing has been told yet. */
-export function untoldMs(facts: RolloutFacts): number {
+export function unreportedMs(facts: RolloutFacts): number {
   const { phase, phaseAgeMs, reportMs, durationMs, ageMs } = facts;
-  const untold = phase === RolloutPhase.Shift ? Math.min(phaseAgeMs, reportMs + REPORT_PACE_MS) : 0;
+  const untold =
+    phase === RolloutPhase.Shift ? Math.min(phaseAgeMs, reportMs + REPORT_INTERVAL_MS) : 0;
   return Math.max(0, durationMs - ageMs) + untold;
 }
 
 /** True if all requests may go to the version until the deadline, or no bound holds any longer. */
-export function isRestPaid(facts: RolloutFacts): boolean {
-  return isOver(facts) || isPaid(facts.exposure, untoldMs(facts));
+export function isRestWithinBudget(facts: RolloutFacts): boolean {
+  return isPastDeadline(facts) || isWithinBudget(facts.exposure, unreportedMs(facts));
 }
--- a/src/rollout/rolloutNews.test.ts
+++ b/src/rollout/rolloutMessages.test.ts
@@ -1,34 +1,34 @@
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { decodeValue, encodeValue } from '../codec/frame.js';
-import { createRolloutBook } from './rolloutBook.js';
 import { createRolloutDecider } from './rolloutDecider.js';
 import {
-  listOfRolloutNews,
-  type RolloutNews,
-  RolloutNewsKind,
-  readRolloutNews,
-} from './rolloutNews.js';
+  decodeRolloutMessage,
+  encodeRolloutMessage,
+  type RolloutMessage,
+  RolloutMessageKind,
+} from './rolloutMessages.js';
 import { RolloutPhase } from './rolloutOrder.js';
+import { createRolloutTracker } from './rolloutTracker.js';
 
 const phases = Object.values(RolloutPhase).filter((each) => typeof each === 'number');
 const amounts = fc.nat();
 const counts = fc.record({
   answered: amounts,
   failed: amounts,
-  lost: amounts,
+  crashes: amounts,
   durations: fc.array(amounts),
-  cuts: fc.array(amounts),
+  cancellations: fc.array(amounts),
 });
 
 const phaseNews = fc.record({
-  kind: fc.constant(RolloutNewsKind.Phase as const),
+  kind: fc.constant(RolloutMessageKind.Phase as const),
   service: fc.string(),
   orderId: fc.string(),
   ageMs: amounts,
   phase: fc.constantFrom(...phases),
   versions: fc.array(fc.tuple(fc.string(), fc.string())),
-  decider: fc.string(),
+  leader: fc.string(),
   plan: fc.record({
     shares: fc
       .array(fc.tuple(fc.string(), fc.nat(1_000)))
@@ -39,7 +39,7 @@
 });
 
 const evidence = fc.record({
-  kind: fc.constant(RolloutNewsKind.Evidence as const),
+  kind: fc.constant(RolloutMessageKind.Evidence as const),
   service: fc.string(),
   orderId: fc.string(),
   ageMs: amounts,
@@ -58,22 +58,22 @@
 });
 
 const resignation = fc.record({
-  kind: fc.constant(RolloutNewsKind.Resignation as const),
+  kind: fc.constant(RolloutMessageKind.Resignation as const),
   service: fc.string(),
   node: fc.string(),
 });
 
 const limit = fc.record({
-  kind: fc.constant(RolloutNewsKind.Limit as const),
+  kind: fc.constant(RolloutMessageKind.Limit as const),
   service: fc.string(),
   orderId: fc.string(),
   node: fc.string(),
   countId: fc.string(),
   limit: amounts,
-  isOpen: fc.boolean(),
+  isUnlimited: fc.boolean(),
 });
 
-const news: fc.Arbitrary<RolloutNews> = fc.oneof(phaseNews, evidence, resignation, limit);
+const news: fc.Arbitrary<RolloutMessage> = fc.oneof(phaseNews, evidence, resignation, limit);
 
 /** Of a type that no writer means, some of which no string or number can be made of. */
 const oddities = fc.oneof(
@@ -93,7 +93,7 @@
 
 /** News of which one part, at any depth of two, is something else. */
 const spoilt = fc.tuple(news, fc.nat(), fc.nat(), oddities).map(([told, place, inner, odd]) => {
-  const list = listOfRolloutNews(told);
+  const list = encodeRolloutMessage(told);
   const at = place % list.length;
   const part = list[at];
   if (Array.isArray(part) && part.length > 0 && inner % 2 === 0) {
@@ -111,7 +111,9 @@
   it('come out as they went in', () => {
     fc.assert(
       fc.property(news, (told) => {
-        expect(readRolloutNews(decodeValue(encodeValue(listOfRolloutNews(told))))).toEqual(told);
+        expect(decodeRolloutMessage(decodeValue(encodeValue(encodeRolloutMessage(told))))).toEqual(
+          told,
+        );
       }),
       { seed: 31, numRuns: 200 },
     );
@@ -120,7 +122,7 @@
   it('are none when they are something else', () => {
     fc.assert(
       fc.property(fc.anything(), (value) => {
-        expect(readRolloutNews(value)).toBeUndefined();
+        expect(decodeRolloutMessage(value)).toBeUndefined();
       }),
       { seed: 32, numRuns: 300 },
     );
@@ -129,7 +131,7 @@
   it('hold nothing but amounts where amounts belong, whatever was written', () => {
     fc.assert(
       fc.property(spoilt, (value) => {
-        const read = readRolloutNews(value);
+        const read = decodeRolloutMessage(value);
         expect(amountsOf(read).filter((each) => !(each >= 0 && each < Infinity))).toEqual([]);
       }),
       { seed: 33, numRuns: 1_000 },
@@ -139,8 +141,8 @@
   it.each([['1'], [undefined], [null], [-1], [Number.NaN], [{ toString: 1, valueOf: 1 }], [[3]]])(
     'do not say that an owner runs nothing when its load reads %j',
     (load) => {
-      const list = listOfRolloutNews({
-        kind: RolloutNewsKind.Evidence,
+      const list = encodeRolloutMessage({
+        kind: RolloutMessageKind.Evidence,
         service: 'desk',
         orderId: '1',
         ageMs: 0,
@@ -157,30 +159,30 @@
         limit: 0,
         counts: new Map(),
       });
-      expect(readRolloutNews(list)).toBeDefined();
-      expect(readRolloutNews(list.with(LOAD_PLACE, load))).toBeUndefined();
+      expect(decodeRolloutMessage(list)).toBeDefined();
+      expect(decodeRolloutMessage(list.with(LOAD_PLACE, load))).toBeUndefined();
     },
   );
 });
 
-function amountsOf(read: RolloutNews | undefined): number[] {
+function amountsOf(read: RolloutMessage | undefined): number[] {
   switch (read?.kind) {
-    case RolloutNewsKind.Phase:
+    case RolloutMessageKind.Phase:
       return [read.ageMs, ...(read.plan?.shares.values() ?? [])];
-    case RolloutNewsKind.Evidence: {
+    case RolloutMessageKind.Evidence: {
       const { ageMs, readyMs = 0, slots, load, sequence, taken, limit } = read;
       const routes = [...read.counts.values()].flatMap(
-        ({ answered, failed, lost, durations, cuts }) => [
+        ({ answered, failed, crashes, durations, cancellations }) => [
           answered,
           failed,
-          lost,
+          crashes,
           ...durations,
-          ...cuts,
+          ...cancellations,
         ],
       );
       return [ageMs, readyMs, slots, load, sequence, taken, limit, ...routes];
     }
-    case RolloutNewsKind.Limit:
+    case RolloutMessageKind.Limit:
       return [read.limit];
     default:
       return [];
@@ -202,17 +204,17 @@
     fc.assert(
       fc.property(fc.array(spoilt, { maxLength: 5 }), (values) => {
         const clock = { now: () => 50 };
-        const book = createRolloutBook({ clock, staleMs: () => 3_000 });
-        book.takeOrder(order);
+        const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
+        book.applyOrder(order);
         const decider = createRolloutDecider(clock, order.targetVersion);
         for (const value of values) {
           const list = value.with(1, 'desk').with(2, '1');
-          const read = readRolloutNews(list);
-          if (read?.kind === RolloutNewsKind.Phase) {
-            book.takePhase(read);
-          } else if (read?.kind === RolloutNewsKind.Evidence) {
+          const read = decodeRolloutMessage(list);
+          if (read?.kind === RolloutMessageKind.Phase) {
+            book.applyPhase(read);
+          } else if (read?.kind === RolloutMessageKind.Evidence) {
             book.noteAge(read.service, read.orderId, read.ageMs);
-            decider.take(read, read.ageMs);
+            decider.addReport(read, read.ageMs);
           }
         }
         const running = book.running('desk');
--- a/src/rollout/rolloutNews.ts
+++ b/src/rollout/rolloutMessages.ts
@@ -1,15 +1,15 @@
 /** What nodes tell one another of a roll-out, and how it travels: as lists, in a fixed order. */
 import { isNonNegativeNumber } from '../codec/numberGuards.js';
-import type { PhaseWord } from './rolloutBook.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
+import type { PhaseUpdate } from './rolloutTracker.js';
 import type { CountsByRoute, RouteCounts } from './runCounts.js';
-import type { RunLimit } from './runGate.js';
+import type { RunLimit } from './runLimiter.js';
 
 /** Shares travel as whole numbers of thousandths. */
 const SHARE_UNITS = 1_000;
 
-export enum RolloutNewsKind {
+export enum RolloutMessageKind {
   Phase = 1,
   Evidence = 2,
   Resignation = 3,
@@ -17,16 +17,16 @@
 }
 
 /** From the decider to all: the phase, its plan, and which version each owner of the service has. */
-export interface PhaseNews extends PhaseWord {
-  readonly kind: RolloutNewsKind.Phase;
+export interface PhaseMessage extends PhaseUpdate {
+  readonly kind: RolloutMessageKind.Phase;
   /** Node that decides. */
-  readonly decider: string;
+  readonly leader: string;
   readonly versions: readonly (readonly [node: string, version: string])[];
 }
 
 /** From the decider to an owner with the target version: how many requests it may give its back end. */
-export interface LimitNews extends RunLimit {
-  readonly kind: RolloutNewsKind.Limit;
+export interface LimitMessage extends RunLimit {
+  readonly kind: RolloutMessageKind.Limit;
   readonly service: string;
   readonly orderId: string;
   readonly node: string;
@@ -35,8 +35,8 @@
 }
 
 /** From an owner to the decider: what its back end has made of its requests, in all since the order. */
-export interface EvidenceNews {
-  readonly kind: RolloutNewsKind.Evidence;
+export interface EvidenceReport {
+  readonly kind: RolloutMessageKind.Evidence;
   readonly service: string;
   readonly orderId: string;
   /** Milliseconds since the order, as far as the owner knows. */
@@ -63,18 +63,18 @@
 }
 
 /** From a decider that the store refuses, to all. */
-export interface ResignationNews {
-  readonly kind: RolloutNewsKind.Resignation;
+export interface ResignationMessage {
+  readonly kind: RolloutMessageKind.Resignation;
   readonly service: string;
   readonly node: string;
 }
 
-export type RolloutNews = PhaseNews | EvidenceNews | ResignationNews | LimitNews;
+export type RolloutMessage = PhaseMessage | EvidenceReport | ResignationMessage | LimitMessage;
 
 /** Renders news as a list. */
-export function listOfRolloutNews(news: RolloutNews): unknown[] {
+export function encodeRolloutMessage(news: RolloutMessage): unknown[] {
   switch (news.kind) {
-    case RolloutNewsKind.Phase:
+    case RolloutMessageKind.Phase:
       return [
         news.kind,
         news.service,
@@ -82,10 +82,10 @@
         Math.round(news.ageMs),
         news.phase,
         news.versions,
-        news.decider,
+        news.leader,
         news.plan && listOfPlan(news.plan),
       ];
-    case RolloutNewsKind.Evidence:
+    case RolloutMessageKind.Evidence:
       return [
         news.kind,
         news.service,
@@ -102,18 +102,18 @@
         news.isFenced,
         news.taken,
         news.limit,
-        [...news.counts].map(([route, { answered, failed, lost, durations, cuts }]) => [
+        [...news.counts].map(([route, { answered, failed, crashes, durations, cancellations }]) => [
           route,
           answered,
           failed,
-          lost,
+          crashes,
           durations,
-          cuts,
+          cancellations,
         ]),
       ];
-    case RolloutNewsKind.Resignation:
+    case RolloutMessageKind.Resignation:
       return [news.kind, news.service, news.node];
-    case RolloutNewsKind.Limit:
+    case RolloutMessageKind.Limit:
       return [
         news.kind,
         news.service,
@@ -121,7 +121,7 @@
         news.node,
         news.countId,
         news.limit,
-        news.isOpen,
+        news.isUnlimited,
       ];
   }
 }
@@ -133,7 +133,7 @@
 }
 
 /** Reads a list; undefined when it is no news. */
-export function readRolloutNews(value: unknown): RolloutNews | undefined {
+export function decodeRolloutMessage(value: unknown): RolloutMessage | undefined {
   if (!Array.isArray(value) || typeof value[1] !== 'string') {
     return undefined;
   }
@@ -141,28 +141,28 @@
   if (typeof service !== 'string' || typeof third !== 'string') {
     return undefined;
   }
-  if (kind === RolloutNewsKind.Resignation) {
+  if (kind === RolloutMessageKind.Resignation) {
     return { kind, service, node: third };
   }
-  if (kind === RolloutNewsKind.Limit) {
+  if (kind === RolloutMessageKind.Limit) {
     return readLimit({ service, orderId: third }, value);
   }
   if (!isNonNegativeNumber(fourth)) {
     return undefined;
   }
   const head = { service, orderId: third, ageMs: fourth };
-  return kind === RolloutNewsKind.Phase ? readPhase(head, value) : readEvidence(head, value);
+  return kind === RolloutMessageKind.Phase ? readPhase(head, value) : readEvidence(head, value);
 }
 
-type Head = Pick<PhaseWord, 'service' | 'orderId' | 'ageMs'>;
+type Head = Pick<PhaseUpdate, 'service' | 'orderId' | 'ageMs'>;
 
-function readPhase(head: Head, value: readonly unknown[]): PhaseNews | undefined {
-  const [phase, versions, decider, planList] = value.slice(4);
-  if (!isPhase(phase) || !Array.isArray(versions) || typeof decider !== 'string') {
+function readPhase(head: Head, value: readonly unknown[]): PhaseMessage | undefined {
+  const [phase, versions, leader, planList] = value.slice(4);
+  if (!isPhase(phase) || !Array.isArray(versions) || typeof leader !== 'string') {
     return undefined;
   }
   const plan = readPlan(planList);
-  const told = { ...head, kind: RolloutNewsKind.Phase as const, phase, decider };
+  const told = { ...head, kind: RolloutMessageKind.Phase as const, phase, leader };
   return { ...told, versions: versions.filter(isPair), ...(plan ? { plan } : {}) };
 }
 
@@ -182,24 +182,28 @@
 }
 
 function readLimit(
-  head: Pick<LimitNews, 'service' | 'orderId'>,
+  head: Pick<LimitMessage, 'service' | 'orderId'>,
   value: readonly unknown[],
-): LimitNews | undefined {
-  const [node, countId, limit, isOpen] = value.slice(3);
+): LimitMessage | undefined {
+  const [node, countId, limit, isUnlimited] = value.slice(3);
   const isRead =
     typeof node === 'string' &&
     typeof countId === 'string' &&
     isNonNegativeNumber(limit) &&
-    typeof isOpen === 'boolean';
+    typeof isUnlimited === 'boolean';
   return isRead
-    ? { ...head, kind: RolloutNewsKind.Limit, node, countId, limit, isOpen }
+    ? { ...head, kind: RolloutMessageKind.Limit, node, countId, limit, isUnlimited }
     : undefined;
 }
 
-function readEvidence(head: Head, value: readonly unknown[]): EvidenceNews | undefined {
+function readEvidence(head: Head, value: readonly unknown[]): EvidenceReport | undefined {
   const [node, phase, countId, sequence, ...rest] = value.slice(4);
   const [version, readyMs, slots, load, isFenced, taken, limit, routes] = rest;
-  if (value[0] !== RolloutNewsKind.Evidence || typeof node !== 'string' || !Array.isArray(routes)) {
+  if (
+    value[0] !== RolloutMessageKind.Evidence ||
+    typeof node !== 'string' ||
+    !Array.isArray(routes)
+  ) {
     return undefined;
   }
   if (!isPhase(phase) || typeof countId !== 'string' || !isNonNegativeNumber(sequence)) {
@@ -220,21 +224,23 @@
   if (!isLimited || !counts.every((each) => each !== undefined)) {
     return undefined;
   }
-  const kind = RolloutNewsKind.Evidence;
+  const kind = RolloutMessageKind.Evidence;
   const back = { version, readyMs, slots, load, isFenced, taken, limit };
   return { ...head, kind, node, phase, countId, sequence, ...back, counts: new Map(counts) };
 }
 
 function readRoute(value: unknown): [string, RouteCounts] | undefined {
-  const [route, answered, failed, lost, durations, cuts] = Array.isArray(value) ? value : [];
+  const [route, answered, failed, crashes, durations, cancellations] = Array.isArray(value)
+    ? value
+    : [];
   const isRead =
     typeof route === 'string' &&
     isNonNegativeNumber(answered) &&
     isNonNegativeNumber(failed) &&
-    isNonNegativeNumber(lost) &&
+    isNonNegativeNumber(crashes) &&
     isAmounts(durations) &&
-    isAmounts(cuts);
-  return isRead ? [route, { answered, failed, lost, durations, cuts }] : undefined;
+    isAmounts(cancellations);
+  return isRead ? [route, { answered, failed, crashes, durations, cancellations }] : undefined;
 }
 
 function isPhase(value: unknown): value is RolloutPhase {
--- a/src/rollout/rolloutProof.ts
+++ b/src/rollout/rolloutProof.ts
@@ -1,7 +1,7 @@
 /** When a version has shown itself to be good: by how many requests on each route, and when they are to be had. */
 
-import { allowedIn, allowedNow, requestsIn } from './exposure.js';
-import { lastStepNeedsMs, leftMs, type RolloutFacts } from './rolloutFacts.js';
+import { budgetAfter, budgetNow, requestsIn } from './exposure.js';
+import { type RolloutFacts, requiredShiftMs, timeToDeadlineMs } from './rolloutFacts.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /**
@@ -29,26 +29,26 @@
 const RARE_SHARE = 0.05;
 
 /** What comes at a steady rate comes in clumps: this part of it is waited for. */
-export const EXPECTED_PART = 0.5;
+export const EXPECTED_ARRIVAL_SHARE = 0.5;
 
 /**
  * True for a version that has failed nothing, if the bound leaves what shows it to be likely good on each route by
  * the time that it is in the last step.
  */
-export function isProvable(facts: RolloutFacts): boolean {
+export function canBeProven(facts: RolloutFacts): boolean {
   const { exposure, routes, comparison } = facts;
-  const before = Math.max(0, leftMs(facts) - provingMs(facts));
-  const proving = provingRuns(facts);
+  const before = Math.max(0, timeToDeadlineMs(facts) - shiftWithProofMs(facts));
+  const proving = likelyGoodRuns(facts);
   const seen = routes.every(
     (route) => route.requests + requestsIn(route, before) >= proving || isRare(facts, route),
   );
   const isClean = comparison.failed === 0 && comparison.doubt === undefined;
-  return isClean && seen && proving * routes.length <= allowedIn(exposure, before);
+  return isClean && seen && proving * routes.length <= budgetAfter(exposure, before);
 }
 
 /** Requests on each route that show a version to be likely good if none fails: what the bound leaves room for. */
-export function provingRuns({ exposure, routes }: RolloutFacts): number {
-  const room = (allowedNow(exposure) * PROVING_PART) / Math.max(1, routes.length);
+export function likelyGoodRuns({ exposure, routes }: RolloutFacts): number {
+  const room = (budgetNow(exposure) * PROVING_PART) / Math.max(1, routes.length);
   return Math.min(MOST_PROVING_RUNS, Math.max(LEAST_PROVING_RUNS, Math.floor(room)));
 }
 
@@ -58,35 +58,35 @@
 }
 
 /** Runs of a route that watch and ramp are to bring: the fewer requests it has, the less the last step can. */
-export function earlyRuns(facts: RolloutFacts, route: RouteTraffic): number {
+export function runsBeforeShift(facts: RolloutFacts, route: RouteTraffic): number {
   if (isRare(facts, route)) {
-    return Math.min(provingRuns(facts), route.requests * EXPECTED_PART);
+    return Math.min(likelyGoodRuns(facts), route.requests * EXPECTED_ARRIVAL_SHARE);
   }
-  return Math.max(LEAST_EARLY_RUNS, provingRuns(facts) - requestsIn(route, PROOF_MS));
+  return Math.max(LEAST_EARLY_RUNS, likelyGoodRuns(facts) - requestsIn(route, PROOF_MS));
 }
 
-export function allEarlyRuns(facts: RolloutFacts): number {
-  return facts.routes.reduce((sum, route) => sum + earlyRuns(facts, route), 0);
+export function totalRunsBeforeShift(facts: RolloutFacts): number {
+  return facts.routes.reduce((sum, route) => sum + runsBeforeShift(facts, route), 0);
 }
 
 /** Time that the last step needs to prove the version and to end. */
-export function provingMs(facts: RolloutFacts): number {
+export function shiftWithProofMs(facts: RolloutFacts): number {
   const busy = facts.routes.filter((route) => !isRare(facts, route));
   const slowest = Math.min(...busy.map(({ perSecond }) => perSecond));
   const runsMs = (PROVEN_RUNS_MORE * 1_000) / slowest;
-  return lastStepNeedsMs(facts) + PROOF_MS + (Number.isFinite(runsMs) ? runsMs : 0);
+  return requiredShiftMs(facts) + PROOF_MS + (Number.isFinite(runsMs) ? runsMs : 0);
 }
 
 export function isProven(facts: RolloutFacts): boolean {
-  return hasShown(facts, provenRuns(facts));
+  return hasEvidenceOf(facts, provenRuns(facts));
 }
 
 /** Requests on each route that prove it. */
 export function provenRuns(facts: RolloutFacts): number {
-  return provingRuns(facts) + PROVEN_RUNS_MORE;
+  return likelyGoodRuns(facts) + PROVEN_RUNS_MORE;
 }
 
 /** True if the version has shown on each route as much as so many requests without a failure do. */
-export function hasShown({ comparison }: RolloutFacts, runs: number): boolean {
+export function hasEvidenceOf({ comparison }: RolloutFacts, runs: number): boolean {
   return comparison.chanceIfBad <= PASSED_IF_BAD ** runs;
 }
--- a/src/rollout/rolloutBook.test.ts
+++ b/src/rollout/rolloutTracker.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
-import { createRolloutBook, PHASE_LEASE_MS } from './rolloutBook.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from './rolloutOrder.js';
+import { createRolloutTracker, PHASE_LEASE_MS } from './rolloutTracker.js';
 
 const ORDER: RolloutOrder = {
   service: 'desk',
@@ -12,10 +12,10 @@
 
 function setUp() {
   let now = 0;
-  const book = createRolloutBook({ clock: { now: () => now }, staleMs: () => 3_000 });
-  book.takeOrder(ORDER);
+  const book = createRolloutTracker({ clock: { now: () => now }, staleMs: () => 3_000 });
+  book.applyOrder(ORDER);
   const tell = (phase: RolloutPhase, ageMs = 0, orderId = '1') =>
-    book.takePhase({ service: 'desk', orderId, phase, ageMs });
+    book.applyPhase({ service: 'desk', orderId, phase, ageMs });
   const pass = (ms: number) => {
     now += ms;
   };
@@ -48,7 +48,7 @@
   ])('is over at once when the store tells %s before the decider does', (state, phase) => {
     const setup = setUp();
     setup.tell(RolloutPhase.Shift);
-    setup.book.takeOrder({ ...ORDER, state });
+    setup.book.applyOrder({ ...ORDER, state });
     expect(setup.book.view('desk')?.phase).toBe(phase);
   });
 
@@ -68,8 +68,8 @@
 
   it('ends once: a status that says otherwise changes nothing', () => {
     const { book } = setUp();
-    expect(book.takeOrder({ ...ORDER, state: RolloutState.Completed })).toBe(true);
-    expect(book.takeOrder({ ...ORDER, state: RolloutState.RolledBack })).toBe(false);
+    expect(book.applyOrder({ ...ORDER, state: RolloutState.Completed })).toBe(true);
+    expect(book.applyOrder({ ...ORDER, state: RolloutState.RolledBack })).toBe(false);
     expect(book.view('desk')?.order.state).toBe(RolloutState.Completed);
   });
 
@@ -77,20 +77,20 @@
     'begins anew when an order that ended was replaced unseen and put back: its status is %s',
     (state) => {
       const { book, tell, pass } = setUp();
-      const first = book.running('desk')?.begun;
+      const first = book.running('desk')?.generation;
       tell(RolloutPhase.Halt);
-      book.takeOrder({ ...ORDER, state: RolloutState.RolledBack });
+      book.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
       pass(20_000);
-      expect(book.takeOrder({ ...ORDER, state })).toBe(true);
+      expect(book.applyOrder({ ...ORDER, state })).toBe(true);
       const running = book.running('desk');
       expect(running).toMatchObject({ phase: RolloutPhase.Watch, ageMs: 0 });
-      expect(running?.begun).not.toBe(first);
+      expect(running?.generation).not.toBe(first);
     },
   );
 
   it('says no more of a service some time after the completion', () => {
     const setup = setUp();
-    setup.book.takeOrder({ ...ORDER, state: RolloutState.Completed });
+    setup.book.applyOrder({ ...ORDER, state: RolloutState.Completed });
     setup.pass(30_001);
     expect(setup.book.view('desk')).toBeUndefined();
   });
@@ -102,25 +102,25 @@
     setup.tell(RolloutPhase.Watch);
     expect(setup.book.view('desk')?.isStale).toBe(false);
     setup.pass(3_001);
-    setup.book.noteCurrent();
+    setup.book.markSynced();
     expect(setup.book.view('desk')?.isStale).toBe(false);
   });
 
   it('remembers a version whose order was removed or replaced, until it is ordered again', () => {
     const { book } = setUp();
-    book.takeOrder({ ...ORDER, id: '2', targetVersion: 'v3' });
+    book.applyOrder({ ...ORDER, id: '2', targetVersion: 'v3' });
     expect([...book.withdrawn('desk')]).toEqual(['v2']);
     book.remove('desk');
     expect([...book.withdrawn('desk')]).toEqual(['v2', 'v3']);
-    book.takeOrder({ ...ORDER, id: '3' });
+    book.applyOrder({ ...ORDER, id: '3' });
     expect([...book.withdrawn('desk')]).toEqual(['v3']);
   });
 
   it('begins anew when the same order is made again', () => {
     const { book } = setUp();
-    book.takeOrder({ ...ORDER, state: RolloutState.RolledBack });
+    book.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
     book.remove('desk');
-    book.takeOrder({ ...ORDER, id: '2' });
+    book.applyOrder({ ...ORDER, id: '2' });
     expect(book.running('desk')?.phase).toBe(RolloutPhase.Watch);
     expect(book.withdrawn('desk').size).toBe(0);
   });
--- a/src/rollout/rolloutBook.ts
+++ b/src/rollout/rolloutTracker.ts
@@ -17,14 +17,14 @@
 const SETTLED_MS = 30_000;
 
 /** What is needed of the node. */
-export interface RolloutBookContext {
+export interface RolloutTrackerContext {
   readonly clock: Clock;
   /** Milliseconds without a word from store and decider after which the version gets nothing. */
   readonly staleMs: () => number;
 }
 
 /** How far an order is, as a decider tells it. */
-export interface PhaseWord {
+export interface PhaseUpdate {
   readonly service: string;
   readonly orderId: string;
   readonly phase: RolloutPhase;
@@ -37,34 +37,34 @@
 export interface RunningRollout {
   readonly order: RolloutOrder;
   /** Counts the orders that this node has learnt of: the same order made again has another. */
-  readonly begun: number;
+  readonly generation: number;
   readonly phase: RolloutPhase;
   readonly phaseAgeMs: number;
   readonly ageMs: number;
 }
 
 /** One per node. */
-export interface RolloutBook {
+export interface RolloutTracker {
   /** True once the store has told which orders stand. */
-  isListed: boolean;
+  isSynced: boolean;
   /** The store's word, newer than all before; false if it was known. */
-  takeOrder(order: RolloutOrder): boolean;
+  applyOrder(order: RolloutOrder): boolean;
   /**
-   * The store's word after it came back from a copy, of an order that was known before: as {@link takeOrder}, but
+   * The store's word after it came back from a copy, of an order that was known before: as {@link applyOrder}, but
    * that the same order goes on, under whatever id, and what was known of its end holds.
    */
-  takeRestored(order: RolloutOrder): boolean;
+  applyRestoredOrder(order: RolloutOrder): boolean;
   /** The order of a service stands no longer. */
   remove(service: string): void;
   /** A decider's word, this node's own included; true if it changed the phase. */
-  takePhase(word: PhaseWord): boolean;
+  applyPhase(word: PhaseUpdate): boolean;
   /** Another node knows that the order is so old. */
   noteAge(service: string, orderId: string, ageMs: number): void;
   /** What is known of the orders is all that the store holds now. */
-  noteCurrent(): void;
+  markSynced(): void;
   running(service: string): RunningRollout | undefined;
   /** How the order of a service has ended, by a status that the store held. */
-  endOf(service: string): RolloutState | undefined;
+  endStateOf(service: string): RolloutState | undefined;
   readonly runningServices: readonly string[];
   readonly services: readonly string[];
   view(service: string): RolloutView | undefined;
@@ -74,7 +74,7 @@
 
 interface Known {
   order: RolloutOrder;
-  readonly begun: number;
+  readonly generation: number;
   learntAt: number;
   phase: RolloutPhase;
   phaseSince: number;
@@ -86,11 +86,11 @@
 
 const NOTHING: ReadonlySet<string> = new Set();
 
-export function createRolloutBook({ clock, staleMs }: RolloutBookContext): RolloutBook {
+export function createRolloutTracker({ clock, staleMs }: RolloutTrackerContext): RolloutTracker {
   const orders = new Map<string, Known>();
   const withdrawn = new Map<string, Set<string>>();
   let currentAt = clock.now();
-  let begun = 0;
+  let generation = 0;
 
   const withdraw = (service: string, { order }: Known): void => {
     if (order.state !== RolloutState.Completed) {
@@ -107,10 +107,10 @@
     withdrawn.get(order.service)?.delete(order.targetVersion);
     const now = clock.now();
     const isEnded = hasEnded(order);
-    begun += 1;
+    generation += 1;
     orders.set(order.service, {
       order,
-      begun,
+      generation,
       learntAt: now,
       phase: RolloutPhase.Watch,
       phaseSince: now,
@@ -152,7 +152,7 @@
     }
   };
 
-  const takeOrder = (order: RolloutOrder): boolean => {
+  const applyOrder = (order: RolloutOrder): boolean => {
     const known = orders.get(order.service);
     // A status ends once: one that hasn't ended is that of the same order, made again after another.
     const isMadeAgain = known && hasEnded(known.order) && !hasEnded(order);
@@ -168,12 +168,12 @@
   };
 
   return {
-    isListed: false,
-    takeOrder,
-    takeRestored: (order) => {
+    isSynced: false,
+    applyOrder,
+    applyRestoredOrder: (order) => {
       const known = orders.get(order.service);
       if (!known || !isSameOrder(known.order, order)) {
-        return takeOrder(order);
+        return applyOrder(order);
       }
       const isChanged = known.order.id !== order.id;
       if (hasEnded(known.order)) {
@@ -184,7 +184,7 @@
       noteState(known, order);
       return isChanged || hasNewState;
     },
-    endOf: (service) => {
+    endStateOf: (service) => {
       const known = orders.get(service);
       return known && hasEnded(known.order) ? known.order.state : undefined;
     },
@@ -195,7 +195,7 @@
         withdraw(service, known);
       }
     },
-    takePhase: ({ service, orderId, phase, ageMs, plan }) => {
+    applyPhase: ({ service, orderId, phase, ageMs, plan }) => {
       const known = runningOf(service);
       if (known?.order.id !== orderId) {
         return false;
@@ -220,7 +220,7 @@
         known.learntAt = Math.min(known.learntAt, clock.now() - ageMs);
       }
     },
-    noteCurrent: () => {
+    markSynced: () => {
       currentAt = clock.now();
     },
     running: (service) => {
@@ -232,7 +232,7 @@
       const now = clock.now();
       return {
         order: known.order,
-        begun: known.begun,
+        generation: known.generation,
         phase,
         phaseAgeMs: now - known.phaseSince,
         ageMs: now - known.learntAt,
@@ -258,8 +258,8 @@
       }
       const isStale = !hasEnded(order) && now - Math.max(currentAt, toldAt) > staleMs();
       const phase = phaseOf(known);
-      const { begun, learntAt } = known;
-      return { order, begun, phase, ageMs: now - learntAt, plan: planOf(known), isStale };
+      const { generation, learntAt } = known;
+      return { order, generation, phase, ageMs: now - learntAt, plan: planOf(known), isStale };
     },
     withdrawn: (service) => withdrawn.get(service) ?? NOTHING,
   };
--- a/src/rollout/runCounts.ts
+++ b/src/rollout/runCounts.ts
@@ -23,14 +23,14 @@
 const SAME_CRASH_MS = 250;
 
 /** How a request ended at a back end. */
-export enum RunEnd {
+export enum RunResult {
   Answered = 0,
   /** The back end failed it: an answer 5xx, a spoilt or foreign one. */
   Failed = 1,
   /** Its connection was lost: a machine or a network may do that to any version. */
-  Lost = 2,
+  ConnectionLost = 2,
   /** Nobody waited for it any longer. */
-  Cut = 3,
+  Cancelled = 3,
 }
 
 /** One request at a back end. */
@@ -39,7 +39,7 @@
   /** Of the back end; undefined while it has told none. */
   readonly version: string | undefined;
   readonly route: string;
-  readonly end: RunEnd;
+  readonly result: RunResult;
   readonly tookMs: number;
   /** True while the back end is slow from its start: its durations tell nothing. */
   readonly isCold: boolean;
@@ -50,11 +50,11 @@
   readonly answered: number;
   readonly failed: number;
   /** Crashes: connections that were lost, those of one moment counted once. */
-  readonly lost: number;
+  readonly crashes: number;
   /** Answered requests by class of duration. */
   readonly durations: readonly number[];
   /** Requests that were cut off, by class of the time until then. */
-  readonly cuts: readonly number[];
+  readonly cancellations: readonly number[];
 }
 
 /** By the names of the routes. */
@@ -69,15 +69,15 @@
 }
 
 /** The longest duration of a class, in milliseconds; of the last one, the shortest. */
-export function classEndMs(place: number): number {
+export function classUpperBoundMs(place: number): number {
   return FIRST_BOUND_MS * CLASS_FACTOR ** Math.min(place, DURATION_CLASSES - 2);
 }
 
 /** Kept by each owner. */
 export interface RunCounts {
-  note(run: BackEndRun, now: number): void;
+  record(run: BackEndRun, now: number): void;
   /** What the back ends of a version have made of their requests until now. */
-  of(version: string | undefined): CountsByRoute;
+  countsFor(version: string | undefined): CountsByRoute;
   /** Another order: the counts begin anew. */
   reset(): void;
 }
@@ -85,9 +85,9 @@
 interface Counted {
   answered: number;
   failed: number;
-  lost: number;
+  crashes: number;
   readonly durations: number[];
-  readonly cuts: number[];
+  readonly cancellations: number[];
 }
 
 export function createRunCounts(): RunCounts {
@@ -104,26 +104,26 @@
   };
 
   return {
-    note: (run, now) => {
+    record: (run, now) => {
       const counts = countsOf(run);
       const place = durationClass(run.tookMs);
-      switch (run.end) {
-        case RunEnd.Answered:
+      switch (run.result) {
+        case RunResult.Answered:
           counts.answered += 1;
           add(counts.durations, run.isCold ? undefined : place);
           return;
-        case RunEnd.Failed:
+        case RunResult.Failed:
           counts.failed += 1;
           return;
-        case RunEnd.Lost:
-          counts.lost += now - lostAt > SAME_CRASH_MS ? 1 : 0;
+        case RunResult.ConnectionLost:
+          counts.crashes += now - lostAt > SAME_CRASH_MS ? 1 : 0;
           lostAt = now;
           return;
-        case RunEnd.Cut:
-          add(counts.cuts, run.isCold ? undefined : place);
+        case RunResult.Cancelled:
+          add(counts.cancellations, run.isCold ? undefined : place);
       }
     },
-    of: (version) => {
+    countsFor: (version) => {
       const routes = [...(versions.get(version) ?? [])];
       return new Map(routes.map(([route, counts]) => [route, structuredClone(counts)]));
     },
@@ -132,7 +132,7 @@
 }
 
 function emptyCounts(): Counted {
-  return { answered: 0, failed: 0, lost: 0, durations: [], cuts: [] };
+  return { answered: 0, failed: 0, crashes: 0, durations: [], cancellations: [] };
 }
 
 function add(classes: number[], place: number | undefined): void {
@@ -153,14 +153,16 @@
   return {
     answered: now.answered - earlier.answered,
     failed: now.failed - earlier.failed,
-    lost: now.lost - earlier.lost,
+    crashes: now.crashes - earlier.crashes,
     durations: difference(now.durations, earlier.durations),
-    cuts: difference(now.cuts, earlier.cuts),
+    cancellations: difference(now.cancellations, earlier.cancellations),
   };
 }
 
 function hasBegunAnew(now: RouteCounts, earlier: RouteCounts): boolean {
-  return now.answered < earlier.answered || now.failed < earlier.failed || now.lost < earlier.lost;
+  return (
+    now.answered < earlier.answered || now.failed < earlier.failed || now.crashes < earlier.crashes
+  );
 }
 
 function difference(now: readonly number[], earlier: readonly number[]): number[] {
--- a/src/rollout/runGate.ts
+++ b/src/rollout/runLimiter.ts
@@ -9,34 +9,34 @@
   /** Requests in all, since the count began. */
   readonly limit: number;
   /** True while there is no limit: the version has proved itself, or nobody else can serve. */
-  readonly isOpen: boolean;
+  readonly isUnlimited: boolean;
 }
 
 /** Kept by an owner for each order. */
-export interface RunGate {
+export interface RunLimiter {
   /** Requests that were let through and not given back. */
   readonly taken: number;
   readonly limit: number;
   /** True once a decider has told a limit. */
-  readonly isTold: boolean;
+  readonly hasLimit: boolean;
   /** Lets a request through, if it may go on. */
-  enter(): boolean;
+  tryAcquire(): boolean;
   /** A request that was let through has not reached the back end. */
-  giveBack(): void;
-  allow(allowed: RunLimit): void;
+  release(): void;
+  raiseLimit(allowed: RunLimit): void;
 }
 
 /** A request that a roll-out lets through to the back end. */
-export interface Passage {
+export interface RunPermit {
   /** It has ended; `hasArrived` is false if it has certainly not reached the back end. */
-  end(hasArrived: boolean): void;
+  finish(hasArrived: boolean): void;
 }
 
 /** No roll-out has anything to say of the request. */
-export const OPEN_PASSAGE: Passage = { end: () => {} };
+export const UNCONDITIONAL_PERMIT: RunPermit = { finish: () => {} };
 
 /** Nothing passes before the first word of a decider. */
-export function createRunGate(): RunGate {
+export function createRunLimiter(): RunLimiter {
   let taken = 0;
   let limit = 0;
   let isOpen = false;
@@ -48,23 +48,23 @@
     get limit() {
       return limit;
     },
-    get isTold() {
+    get hasLimit() {
       return isTold;
     },
-    enter: () => {
+    tryAcquire: () => {
       if (!isOpen && taken >= limit) {
         return false;
       }
       taken += 1;
       return true;
     },
-    giveBack: () => {
+    release: () => {
       taken -= 1;
     },
-    allow: (allowed) => {
+    raiseLimit: (allowed) => {
       // Words may overtake one another, and a limit that was given has been spent.
       limit = Math.max(limit, allowed.limit);
-      isOpen = allowed.isOpen;
+      isOpen = allowed.isUnlimited;
       isTold = true;
     },
   };
--- a/src/rollout/runOutcomes.ts
+++ b/src/rollout/runOutcomes.ts
@@ -1,5 +1,5 @@
 /** What one measure of a comparison makes of an owner's counts: failures, lost connections, durations. */
-import { classEndMs, countFrom, DURATION_CLASSES, type RouteCounts } from './runCounts.js';
+import { classUpperBoundMs, countFrom, DURATION_CLASSES, type RouteCounts } from './runCounts.js';
 import type { Outcomes } from './sequentialTest.js';
 
 /** The bound of durations is the class above which at most this share of the others' lie, ... */
@@ -28,9 +28,9 @@
 /** Requests that ended, and lost connections among them. */
 export function crashesOf(counts: readonly RouteCounts[]): Outcomes {
   return counts.reduce(
-    (sum, { answered, failed, lost }) => ({
-      total: sum.total + answered + failed + lost,
-      bad: sum.bad + lost,
+    (sum, { answered, failed, crashes }) => ({
+      total: sum.total + answered + failed + crashes,
+      bad: sum.bad + crashes,
     }),
     { total: 0, bad: 0 },
   );
@@ -39,10 +39,10 @@
 /** What was cut off before the bound tells nothing. */
 export function slowOf(counts: readonly RouteCounts[], bound: number): Outcomes {
   return counts.reduce(
-    (sum, { durations, cuts }) => {
-      const slow = countFrom(durations, bound) + countFrom(cuts, bound);
+    (sum, { durations, cancellations }) => {
+      const slow = countFrom(durations, bound) + countFrom(cancellations, bound);
       return {
-        total: sum.total + countFrom(durations, 0) + countFrom(cuts, bound),
+        total: sum.total + countFrom(durations, 0) + countFrom(cancellations, bound),
         bad: sum.bad + slow,
       };
     },
@@ -51,17 +51,17 @@
 }
 
 /** The end of the class above which hardly any duration lies, of all routes together. */
-export function endOf(routes: readonly (readonly number[])[]): number {
+export function nearMaxDurationMs(routes: readonly (readonly number[])[]): number {
   const classes = Array.from({ length: DURATION_CLASSES }, (_, place) =>
     routes.reduce((sum, durations) => sum + (durations[place] ?? 0), 0),
   );
   const total = countFrom(classes, 0);
   const last = classes.findIndex((_, place) => countFrom(classes, place + 1) <= total * LONG_SHARE);
-  return total === 0 ? 0 : classEndMs(last);
+  return total === 0 ? 0 : classUpperBoundMs(last);
 }
 
 /** The first class that counts as slow; undefined while too little is known. */
-export function boundOf(durations: readonly number[]): number | undefined {
+export function slowThresholdOf(durations: readonly number[]): number | undefined {
   const total = countFrom(durations, 0);
   if (total < MIN_DURATIONS) {
     return undefined;
--- a/src/rollout/sequentialTest.ts
+++ b/src/rollout/sequentialTest.ts
@@ -118,8 +118,8 @@
   const shares = (): { usualShare: number; badShare: number } => {
     const { floor } = levels;
     const highest = Math.max(
-      highestShareOf(usual, floor),
-      highestShareOf(sumOf(recentOthers.map(({ value }) => value)), floor),
+      shareUpperBound(usual, floor),
+      shareUpperBound(sumOutcomes(recentOthers.map(({ value }) => value)), floor),
     );
     const usualShare = Math.min(HIGHEST_USUAL_SHARE, highest);
     const badShare = Math.min(HIGHEST_SHARE, usualShare + Math.max(levels.excess, usualShare));
@@ -181,13 +181,13 @@
 }
 
 /** What a share may be by what has been seen of it; not below `floor`. */
-export function highestShareOf({ total, bad }: Outcomes, floor: number): number {
+export function shareUpperBound({ total, bad }: Outcomes, floor: number): number {
   const size = total + PRIOR_OUTCOMES;
   const share = (bad + floor * PRIOR_OUTCOMES) / size;
   return Math.max(floor, share + MARGIN * Math.sqrt((share * (1 - share)) / size));
 }
 
-export function sumOf(outcomes: readonly Outcomes[]): Outcomes {
+export function sumOutcomes(outcomes: readonly Outcomes[]): Outcomes {
   return outcomes.reduce(
     (sum, { total, bad }) => ({ total: sum.total + total, bad: sum.bad + bad }),
     { total: 0, bad: 0 },
--- a/src/rollout/serviceTraffic.test.ts
+++ b/src/rollout/serviceTraffic.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
-import { type EvidenceNews, RolloutNewsKind } from './rolloutNews.js';
+import { type EvidenceReport, RolloutMessageKind } from './rolloutMessages.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import { createServiceTraffic } from './serviceTraffic.js';
 
 /** A report made at an age of the order, in milliseconds, of so many answered requests. */
-function report(node: string, ageMs: number, answered: number, more: Partial<EvidenceNews> = {}) {
-  const counts = { answered, failed: 0, lost: 0, durations: [], cuts: [] };
-  const news: EvidenceNews = {
-    kind: RolloutNewsKind.Evidence,
+function report(node: string, ageMs: number, answered: number, more: Partial<EvidenceReport> = {}) {
+  const counts = { answered, failed: 0, crashes: 0, durations: [], cancellations: [] };
+  const news: EvidenceReport = {
+    kind: RolloutMessageKind.Evidence,
     service: 'desk',
     orderId: '1',
     ageMs,
@@ -32,7 +32,7 @@
   it('takes the rate of the last two seconds, by when reports were made and not when they came', () => {
     const traffic = createServiceTraffic();
     for (const [second, answered] of [0, 10, 20, 40, 60].entries()) {
-      traffic.take(report('old', second * 1_000, answered), false, 9_000);
+      traffic.addReport(report('old', second * 1_000, answered), false, 9_000);
     }
     expect(traffic.routes(RolloutPhase.Watch, 9_000)).toMatchObject([
       { route: 'read', requests: 60, perSecond: 20, runs: 0 },
@@ -46,8 +46,8 @@
     for (let ageMs = 250; ageMs <= 8_000; ageMs += 250) {
       const isMoved = ageMs > 5_000;
       const toOld = isMoved ? 5_000 : ageMs;
-      traffic.take(report('old', ageMs, toOld / 10), false, ageMs);
-      traffic.take(report('new', ageMs, (ageMs - toOld) / 10), true, ageMs);
+      traffic.addReport(report('old', ageMs, toOld / 10), false, ageMs);
+      traffic.addReport(report('new', ageMs, (ageMs - toOld) / 10), true, ageMs);
       rates.push(traffic.routes(RolloutPhase.Watch, ageMs)[0]?.perSecond ?? 0);
     }
     expect(Math.max(...rates)).toBeLessThan(101);
@@ -57,17 +57,17 @@
   it('tells what ended at the version in the phase that its owner was in', () => {
     const traffic = createServiceTraffic();
     const ramp = { phase: RolloutPhase.Ramp };
-    traffic.take(report('new', 1_000, 10), true, 1_000);
-    traffic.take(report('new', 1_200, 12, ramp), true, 1_200);
-    traffic.take(report('new', 1_500, 20, ramp), true, 1_500);
+    traffic.addReport(report('new', 1_000, 10), true, 1_000);
+    traffic.addReport(report('new', 1_200, 12, ramp), true, 1_200);
+    traffic.addReport(report('new', 1_500, 20, ramp), true, 1_500);
     expect(traffic.routes(RolloutPhase.Ramp, 1_500)[0]).toMatchObject({ runs: 20, phaseRuns: 10 });
     expect(traffic.routes(RolloutPhase.Shift, 1_500)[0]).toMatchObject({ runs: 20, phaseRuns: 0 });
   });
 
   it('keeps the counts of an owner that has counted anew since', () => {
     const traffic = createServiceTraffic();
-    traffic.take(report('new', 1_000, 10), true, 1_000);
-    traffic.take(report('new', 2_000, 3, { countId: 'new-2' }), true, 2_000);
+    traffic.addReport(report('new', 1_000, 10), true, 1_000);
+    traffic.addReport(report('new', 2_000, 3, { countId: 'new-2' }), true, 2_000);
     expect(traffic.routes(RolloutPhase.Watch, 2_000)[0]).toMatchObject({ requests: 13, runs: 13 });
   });
 });
--- a/src/rollout/serviceTraffic.ts
+++ b/src/rollout/serviceTraffic.ts
@@ -2,7 +2,7 @@
  * What has reached a service since its order, and what reaches it now, by route: from the whole counts that
  * its owners report. Times are those at which the reports were made, not those at which they came.
  */
-import type { EvidenceNews } from './rolloutNews.js';
+import type { EvidenceReport } from './rolloutMessages.js';
 import type { RolloutPhase } from './rolloutOrder.js';
 import { countFrom, type RouteCounts } from './runCounts.js';
 
@@ -31,7 +31,7 @@
 
 export interface ServiceTraffic {
   /** A report, newer than those of the same count before; `now` is a steady time in milliseconds. */
-  take(report: EvidenceNews, isTarget: boolean, now: number): void;
+  addReport(report: EvidenceReport, isTarget: boolean, now: number): void;
   /** The routes that have had requests; runs of the phase count if their owner was in it as it told them. */
   routes(phase: RolloutPhase, now: number): readonly RouteTraffic[];
 }
@@ -40,7 +40,7 @@
 type Totals = ReadonlyMap<string, { readonly ended: number; readonly failed: number }>;
 
 interface Told {
-  readonly madeMs: number;
+  readonly reportedAtMs: number;
   readonly totals: Totals;
 }
 
@@ -60,13 +60,13 @@
 export function createServiceTraffic(): ServiceTraffic {
   const counts = new Map<string, Count>();
 
-  const take = (report: EvidenceNews, isTarget: boolean, now: number): void => {
+  const addReport = (report: EvidenceReport, isTarget: boolean, now: number): void => {
     const { node, countId, version, phase, ageMs } = report;
     const key = `${node} ${countId} ${version}`;
     const totals = totalsOf(report);
     const known = counts.get(key);
     if (!known) {
-      const told = [{ madeMs: ageMs, totals }];
+      const told = [{ reportedAtMs: ageMs, totals }];
       counts.set(key, { isTarget, told, heardAt: now, phase, before: totals });
       return;
     }
@@ -75,8 +75,8 @@
       known.before = known.told.at(-1)?.totals ?? NOTHING;
     }
     const isOld = (_: Told, index: number, all: readonly Told[]) =>
-      (all[index + 1]?.madeMs ?? Number.POSITIVE_INFINITY) <= ageMs - RATE_MS;
-    const told = [...known.told, { madeMs: ageMs, totals }];
+      (all[index + 1]?.reportedAtMs ?? Number.POSITIVE_INFINITY) <= ageMs - RATE_MS;
+    const told = [...known.told, { reportedAtMs: ageMs, totals }];
     known.told = told.filter((each, index) => !isOld(each, index, told));
     known.heardAt = now;
   };
@@ -97,7 +97,7 @@
   };
 
   return {
-    take,
+    addReport,
     routes: (phase, now) => {
       const names = new Set(
         [...counts.values()].flatMap(({ told }) => [...(told.at(-1)?.totals.keys() ?? [])]),
@@ -107,12 +107,15 @@
   };
 }
 
-function totalsOf({ counts }: EvidenceNews): Totals {
+function totalsOf({ counts }: EvidenceReport): Totals {
   return new Map([...counts].map(([route, each]) => [route, totalOf(each)]));
 }
 
-function totalOf({ answered, failed, lost, cuts }: RouteCounts) {
-  return { ended: answered + failed + lost + countFrom(cuts, 0), failed: failed + lost };
+function totalOf({ answered, failed, crashes, cancellations }: RouteCounts) {
+  return {
+    ended: answered + failed + crashes + countFrom(cancellations, 0),
+    failed: failed + crashes,
+  };
 }
 
 function endedIn(totals: Totals, route: string): number {
@@ -122,20 +125,23 @@
 /** Requests a second before the newest report; a count begins with the order. */
 function rateOf({ told }: Count, route: string): number {
   const newest = told.at(-1);
-  if (!newest || newest.madeMs <= 0) {
+  if (!newest || newest.reportedAtMs <= 0) {
     return 0;
   }
-  const passedMs = Math.min(RATE_MS, newest.madeMs);
-  const before = endedAt(told, route, newest.madeMs - passedMs);
+  const passedMs = Math.min(RATE_MS, newest.reportedAtMs);
+  const before = endedAt(told, route, newest.reportedAtMs - passedMs);
   return ((endedIn(newest.totals, route) - before) * MILLISECONDS_PER_SECOND) / passedMs;
 }
 
 /** What had ended at a time, between two reports. */
 function endedAt(told: readonly Told[], route: string, atMs: number): number {
-  const later = told.find(({ madeMs }) => madeMs >= atMs) as Told;
-  const earlier = told.filter(({ madeMs }) => madeMs < atMs).at(-1);
-  const from = { ended: earlier ? endedIn(earlier.totals, route) : 0, at: earlier?.madeMs ?? 0 };
-  const spanMs = later.madeMs - from.at;
+  const later = told.find(({ reportedAtMs }) => reportedAtMs >= atMs) as Told;
+  const earlier = told.filter(({ reportedAtMs }) => reportedAtMs < atMs).at(-1);
+  const from = {
+    ended: earlier ? endedIn(earlier.totals, route) : 0,
+    at: earlier?.reportedAtMs ?? 0,
+  };
+  const spanMs = later.reportedAtMs - from.at;
   const part = spanMs > 0 ? (atMs - from.at) / spanMs : 1;
   return from.ended + (endedIn(later.totals, route) - from.ended) * part;
 }
--- a/src/rollout/versionComparison.test.ts
+++ b/src/rollout/versionComparison.test.ts
@@ -1,7 +1,7 @@
 /** The comparison on noise and on bad versions, with seeded chance and no network. */
 import { expect, it } from 'vitest';
 import { seededRandom } from '../../lab/random.js';
-import { createRunCounts, RunEnd } from './runCounts.js';
+import { createRunCounts, RunResult } from './runCounts.js';
 import { createVersionComparison } from './versionComparison.js';
 
 const STEP_MS = 250;
@@ -58,12 +58,12 @@
     route: number,
   ) => {
     const slowness = random() < behaviour.slowShare ? behaviour.slowness : 1;
-    counts[place]?.note(
+    counts[place]?.record(
       {
         service: 'desk',
         version,
         route: `route-${route}`,
-        end: endOf(behaviour, random()),
+        result: endOf(behaviour, random()),
         tookMs: duration() * slowness,
         isCold: false,
       },
@@ -88,13 +88,13 @@
         return;
       }
       const version = isTarget ? TARGET : OTHER;
-      comparison.take({
+      comparison.addReport({
         node: `node-${place}`,
         countId: '1',
         isTarget,
-        madeMs: at,
+        reportedAtMs: at,
         isCompared: true,
-        counts: own.of(version),
+        counts: own.countsFor(version),
       });
     });
     comparison.step(true, at);
@@ -105,11 +105,11 @@
   return undefined;
 }
 
-function endOf({ failing, losing = 0 }: Behaviour, drawn: number): RunEnd {
+function endOf({ failing, losing = 0 }: Behaviour, drawn: number): RunResult {
   if (drawn < failing) {
-    return RunEnd.Failed;
+    return RunResult.Failed;
   }
-  return drawn < failing + losing ? RunEnd.Lost : RunEnd.Answered;
+  return drawn < failing + losing ? RunResult.ConnectionLost : RunResult.Answered;
 }
 
 /** Times at which each of many trials found the version bad. */
@@ -196,10 +196,16 @@
 
 it('counts connections that are lost at the same moment as one crash', () => {
   const counts = createRunCounts();
-  const lost = { service: 'desk', version: TARGET, route: 'a', end: RunEnd.Lost, tookMs: 5 };
+  const lost = {
+    service: 'desk',
+    version: TARGET,
+    route: 'a',
+    result: RunResult.ConnectionLost,
+    tookMs: 5,
+  };
   for (let each = 0; each < 10; each += 1) {
-    counts.note({ ...lost, isCold: false }, 1_000 + each);
+    counts.record({ ...lost, isCold: false }, 1_000 + each);
   }
-  counts.note({ ...lost, isCold: false }, 2_000);
-  expect(counts.of(TARGET).get('a')?.lost).toBe(2);
+  counts.record({ ...lost, isCold: false }, 2_000);
+  expect(counts.countsFor(TARGET).get('a')?.crashes).toBe(2);
 });
--- a/src/rollout/versionComparison.ts
+++ b/src/rollout/versionComparison.ts
@@ -7,7 +7,13 @@
  */
 import { createFailureCounts } from './failureCounts.js';
 import { type CountsByRoute, countsSince, type RouteCounts } from './runCounts.js';
-import { boundOf, crashesOf, endOf, failuresOf, slowOf } from './runOutcomes.js';
+import {
+  crashesOf,
+  failuresOf,
+  nearMaxDurationMs,
+  slowOf,
+  slowThresholdOf,
+} from './runOutcomes.js';
 import {
   CRASH_LEVELS,
   createSequentialTest,
@@ -50,7 +56,7 @@
   readonly countId: string;
   readonly isTarget: boolean;
   /** Age of the order as it was made, in milliseconds. */
-  readonly madeMs: number;
+  readonly reportedAtMs: number;
   /** False while the others get nothing: what fails at such a moment may fail everywhere. */
   readonly isCompared: boolean;
   readonly counts: CountsByRoute;
@@ -59,7 +65,7 @@
 /** Kept by the decider for each order. */
 export interface VersionComparison {
   /** Takes a report; it counts with the next step. */
-  take(report: CountsReport): void;
+  addReport(report: CountsReport): void;
   /**
    * Compares what has come since the last step, at a steady time in milliseconds; `areOthersServing` while they
    * get requests as well.
@@ -132,7 +138,7 @@
         usual[place] = (usual[place] ?? 0) + count;
       });
     }
-    const bound = boundOf(usual);
+    const bound = slowThresholdOf(usual);
     if (bound !== undefined) {
       const slowFrom = (counts: readonly RouteCounts[]) => slowOf(counts, bound);
       const outcomes = outcomesOf(areOthersServing ? step : withoutTarget(step), slowFrom);
@@ -141,16 +147,16 @@
   };
 
   return {
-    take: ({ node, countId, isTarget, counts, madeMs, isCompared }) => {
+    addReport: ({ node, countId, isTarget, counts, reportedAtMs, isCompared }) => {
       for (const [route, whole] of counts) {
         const key = `${node} ${countId} ${isTarget} ${route}`;
         const since = countsSince(whole, newest.get(key));
         newest.set(key, whole);
         const of = isTarget ? node : undefined;
         const outcomes = failuresOf([since]);
-        failures.take({ node: of, route, outcomes, madeMs });
+        failures.addReport({ node: of, route, outcomes, reportedAtMs });
         if (isCompared) {
-          comparedFailures.take({ node: of, route, outcomes, madeMs });
+          comparedFailures.addReport({ node: of, route, outcomes, reportedAtMs });
         }
         const { target, others } = stepOf(route);
         if (!isTarget) {
@@ -158,8 +164,8 @@
           continue;
         }
         target.set(node, [...(target.get(node) ?? []), since]);
-        finished += since.answered + since.failed + since.lost;
-        failed += since.failed + since.lost;
+        finished += since.answered + since.failed + since.crashes;
+        failed += since.failed + since.crashes;
       }
     },
     step: (areOthersServing, now) => {
@@ -181,7 +187,7 @@
       pending = new Map();
     },
     get othersEndMs() {
-      return endOf([...usualDurations.values()]);
+      return nearMaxDurationMs([...usualDurations.values()]);
     },
     get summary() {
       const strongest = strongestOf([...tests.values()]);
@@ -194,7 +200,7 @@
         route: strongest?.route ?? '',
         isBad: strongest?.test.isBad ?? false,
         doubt: failures.doubt(),
-        comparedDoubt: comparedFailures.doubtOfMany(),
+        comparedDoubt: comparedFailures.doubtBeyondOneNode(),
         suspect: failures.suspect(),
         chanceIfBad: failures.chanceIfBad(),
       };
--- a/src/rollout/versionRules.ts
+++ b/src/rollout/versionRules.ts
@@ -17,7 +17,7 @@
 export interface RolloutView {
   readonly order: RolloutOrder;
   /** Counts the orders that this node has learnt of: the same order made again has another. */
-  readonly begun: number;
+  readonly generation: number;
   readonly phase: RolloutPhase;
   /** Milliseconds since the order, as far as this node knows. */
   readonly ageMs: number;
@@ -36,7 +36,7 @@
   /** The order of a service, if one stands. */
   readonly view: (service: string) => RolloutView | undefined;
   /** True once the orders have been read. */
-  readonly isListed: () => boolean;
+  readonly isSynced: () => boolean;
   /** Versions whose order was withdrawn before its end. */
   readonly withdrawn: (service: string) => ReadonlySet<string>;
 }
@@ -56,7 +56,7 @@
 
 export interface VersionRules {
   /** Undefined while all versions may serve alike. */
-  of(service: string): VersionRule | undefined;
+  ruleFor(service: string): VersionRule | undefined;
 }
 
 type VersionCheck = (version: string | undefined) => boolean;
@@ -77,7 +77,7 @@
 }
 
 export function createVersionRules(context: VersionRulesContext): VersionRules {
-  const { clock, applyMs, owners, view, isListed, withdrawn } = context;
+  const { clock, applyMs, owners, view, isSynced, withdrawn } = context;
   const surveys = new Map<string, Survey>();
   /** When each version of a service was first seen. */
   const firstSeen = new Map<string, Map<string, number>>();
@@ -148,10 +148,10 @@
   };
 
   const ruleOf = (service: string, survey: Survey): Rule | undefined => {
-    const { order, begun, phase, plan, isStale } = view(service) ?? {};
+    const { order, generation, phase, plan, isStale } = view(service) ?? {};
     const banned = withdrawn(service);
     if (order) {
-      const key = `order ${begun}`;
+      const key = `order ${generation}`;
       const { targetVersion, state } = order;
       const isTarget = (version: string | undefined) =>
         version === targetVersion || (version !== undefined && banned.has(version));
@@ -176,11 +176,11 @@
         version === undefined ? mayBeBanned : banned.has(version);
       return { key: 'withdrawn', isLimited, phase: RolloutPhase.Halt };
     }
-    return isListed() ? appearing(service, survey) : unlisted(survey);
+    return isSynced() ? appearing(service, survey) : unlisted(survey);
   };
 
   return {
-    of: (service) => {
+    ruleFor: (service) => {
       const survey = surveyOf(service);
       const rule = ruleOf(service, survey);
       if (!rule) {
--- a/src/rollout/versionShares.test.ts
+++ b/src/rollout/versionSelector.test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from 'vitest';
 import { type RolloutOrder, RolloutPhase, RolloutState } from './rolloutOrder.js';
 import type { RolloutView, VersionedOwner } from './versionRules.js';
-import { createVersionShares } from './versionShares.js';
+import { createVersionSelector } from './versionSelector.js';
 
 const BOUNDS = { exposureShare: 0.1, exposureSlack: 50, rollbackMs: 5_000 };
 const ORDER: RolloutOrder = {
@@ -31,7 +31,7 @@
 
 function sharesOf(setup: Setup) {
   const { owners = OWNERS, nodes = 1, isListed = true, withdrawn = [], now = () => 0 } = setup;
-  return createVersionShares({
+  return createVersionSelector({
     clock: { now },
     bounds: () => BOUNDS,
     applyMs: () => 2_500,
@@ -41,24 +41,24 @@
     view: () =>
       setup.view && {
         order: ORDER,
-        begun: 1,
+        generation: 1,
         phase: RolloutPhase.Watch,
         ageMs: 1_000,
         plan: undefined,
         isStale: false,
         ...setup.view,
       },
-    isListed: () => isListed,
+    isSynced: () => isListed,
     withdrawn: () => new Set(withdrawn),
   });
 }
 
 /** Offers one request as a dispatch does: the preferred owners first, then the usual ones. */
 function offer(shares: ReturnType<typeof sharesOf>, owners = OWNERS): string | undefined {
-  const share = shares.begin('desk', 'read');
-  const { preferred, usual = () => true } = share;
+  const share = shares.select('desk', 'read');
+  const { preferred, fallback = () => true } = share;
   const names = owners.map(({ node }) => node);
-  const first = (preferred && names.find(preferred)) ?? names.find(usual);
+  const first = (preferred && names.find(preferred)) ?? names.find(fallback);
   if (first) {
     share.noteOffer(first);
   }
@@ -103,13 +103,13 @@
     let begun = 1;
     const shares = sharesOf({
       view: {
-        get begun() {
+        get generation() {
           return begun;
         },
       },
     });
     for (let each = 0; each < 10_000; each += 1) {
-      shares.begin('desk', 'read');
+      shares.select('desk', 'read');
     }
     begun = 2;
     const offered = Array.from({ length: 1_000 }, () => offer(shares));
@@ -120,10 +120,10 @@
     const shares = sharesOf({ view: {}, random: () => 0 });
     const offerMany = () => Array.from({ length: 1_000 }, () => offer(shares));
     expect(toTarget(offerMany())).toBe(75);
-    const share = shares.begin('desk', 'read');
+    const share = shares.select('desk', 'read');
     share.noteOffer('new-1');
-    share.noteReturned('new-1');
-    share.noteReturned('new-1');
+    share.noteUndelivered('new-1');
+    share.noteUndelivered('new-1');
     expect(toTarget(offerMany())).toBe(50);
   });
 
@@ -143,12 +143,12 @@
     const shares = sharesOf({ view: {} });
     let sent = 0;
     for (let each = 0; each < 5_000; each += 1) {
-      const share = shares.begin('desk', 'read');
+      const share = shares.select('desk', 'read');
       const node = share.preferred && ['new-1', 'new-2'].find(share.preferred);
       if (node) {
         sent += 1;
         share.noteOffer(node);
-        share.noteBad(node);
+        share.noteFailure(node);
       }
     }
     expect(sent).toBe(50);
@@ -175,28 +175,28 @@
   it('knows nothing of versions while most owners have not told theirs', () => {
     const owners = ['a', 'b', 'c'].map((node) => ({ node, version: undefined }));
     const shares = sharesOf({ view: {}, owners: [...owners, { node: 'd', version: 'v1' }] });
-    expect(shares.begin('desk', 'read').usual).toBeUndefined();
+    expect(shares.select('desk', 'read').fallback).toBeUndefined();
   });
 
   it('keeps a version that nobody ordered small only as long as an order may be on its way', () => {
     let now = 0;
     let owners = OWNERS.slice(0, 2);
-    const shares = createVersionShares({
+    const shares = createVersionSelector({
       clock: { now: () => now },
       bounds: () => BOUNDS,
       applyMs: () => 2_500,
       owners: () => owners,
       nodes: () => 1,
       view: () => undefined,
-      isListed: () => true,
+      isSynced: () => true,
       withdrawn: () => new Set(),
     });
-    expect(shares.begin('desk', 'read').usual).toBeUndefined();
+    expect(shares.select('desk', 'read').fallback).toBeUndefined();
     now = 10_000;
     owners = [...OWNERS];
-    expect(shares.begin('desk', 'read').usual?.('new-1')).toBe(false);
+    expect(shares.select('desk', 'read').fallback?.('new-1')).toBe(false);
     now = 12_600;
-    expect(shares.begin('desk', 'read').usual).toBeUndefined();
+    expect(shares.select('desk', 'read').fallback).toBeUndefined();
   });
 
   it('asks the owners of the plan first in the last step, and the others only until they are fenced', () => {
@@ -206,49 +206,49 @@
       isFenced,
     });
     const view = (isFenced: boolean) => ({ phase: RolloutPhase.Shift, plan: plan(isFenced) });
-    const open = sharesOf({ view: view(false) }).begin('desk', 'read');
+    const open = sharesOf({ view: view(false) }).select('desk', 'read');
     expect(open.preferred?.('new-1')).toBe(true);
     expect(open.preferred?.('new-2')).toBe(false);
-    expect(open.usual?.('old-1')).toBe(true);
-    const fenced = sharesOf({ view: view(true) }).begin('desk', 'read');
+    expect(open.fallback?.('old-1')).toBe(true);
+    const fenced = sharesOf({ view: view(true) }).select('desk', 'read');
     expect(fenced.preferred).toBeUndefined();
-    expect(fenced.usual?.('new-1')).toBe(true);
-    expect(fenced.usual?.('new-2')).toBe(false);
-    expect(fenced.usual?.('old-1')).toBe(false);
+    expect(fenced.fallback?.('new-1')).toBe(true);
+    expect(fenced.fallback?.('new-2')).toBe(false);
+    expect(fenced.fallback?.('old-1')).toBe(false);
   });
 
   it('sends nothing to a version whose order was taken back while others stand', () => {
     const shares = sharesOf({ withdrawn: ['v2'] });
     expect(toTarget(Array.from({ length: 500 }, () => offer(shares)))).toBe(0);
     const alone = sharesOf({ withdrawn: ['v2'], owners: OWNERS.slice(2) });
-    expect(alone.begin('desk', 'read').usual).toBeUndefined();
+    expect(alone.select('desk', 'read').fallback).toBeUndefined();
   });
 
   it('sends nothing to owners that have not told a version, while one is taken back', () => {
     const fresh = { node: 'new-3', version: undefined };
     const shares = sharesOf({ withdrawn: ['v2'], owners: [...OWNERS, fresh] });
-    expect(shares.begin('desk', 'read').usual?.('new-3')).toBe(false);
+    expect(shares.select('desk', 'read').fallback?.('new-3')).toBe(false);
   });
 
   it('sends nothing to owners that have come since it last looked, while a version is held back', () => {
     for (const setup of [{ view: {} }, { withdrawn: ['v2'] }]) {
-      const share = sharesOf(setup).begin('desk', 'read');
-      expect(share.usual?.('old-1')).toBe(true);
-      expect(share.usual?.('new-3')).toBe(false);
+      const share = sharesOf(setup).select('desk', 'read');
+      expect(share.fallback?.('old-1')).toBe(true);
+      expect(share.fallback?.('new-3')).toBe(false);
     }
   });
 
   it('is open everywhere without bounds', () => {
-    const shares = createVersionShares({
+    const shares = createVersionSelector({
       clock: { now: () => 0 },
       bounds: () => undefined,
       applyMs: () => 0,
       owners: () => OWNERS,
       nodes: () => 1,
       view: () => undefined,
-      isListed: () => false,
+      isSynced: () => false,
       withdrawn: () => new Set(),
     });
-    expect(shares.begin('desk', 'read').usual).toBeUndefined();
+    expect(shares.select('desk', 'read').fallback).toBeUndefined();
   });
 });
--- a/src/rollout/versionShares.ts
+++ b/src/rollout/versionSelector.ts
@@ -33,7 +33,7 @@
 }
 
 /** What is needed of the node. */
-export interface VersionSharesContext extends VersionRulesContext {
+export interface VersionSelectorContext extends VersionRulesContext {
   readonly bounds: () => RolloutBounds | undefined;
   /** Nodes that share the slack; infinite while they are not known. */
   readonly nodes: () => number;
@@ -41,24 +41,24 @@
 }
 
 /** Says of a node whether a request may be offered to its back end. */
-export type NodeCheck = (node: string) => boolean;
+export type NodePredicate = (node: string) => boolean;
 
 /** One request's part. */
-export interface RequestShare {
+export interface VersionSelection {
   /** Owners that are asked first; undefined if none come before the usual ones. */
-  readonly preferred: NodeCheck | undefined;
+  readonly preferred: NodePredicate | undefined;
   /** Undefined when all owners of the service may be asked. */
-  readonly usual: NodeCheck | undefined;
+  readonly fallback: NodePredicate | undefined;
   /** The request is offered to an owner. */
   noteOffer(node: string): void;
   /** An offer has certainly not reached a back end. */
-  noteReturned(node: string): void;
+  noteUndelivered(node: string): void;
   /** A back end has failed the request. */
-  noteBad(node: string): void;
+  noteFailure(node: string): void;
 }
 
 /** What a node has seen and sent under the present orders. */
-export interface ShareTotals {
+export interface SelectionTotals {
   readonly requests: number;
   /** To the versions that are being rolled out. */
   readonly offers: number;
@@ -67,19 +67,19 @@
 }
 
 /** One per node. */
-export interface VersionShares {
+export interface VersionSelector {
   /** A request for a service has come, on a route. */
-  begin(service: string, route: string): RequestShare;
-  readonly totals: ShareTotals;
+  select(service: string, route: string): VersionSelection;
+  readonly totals: SelectionTotals;
 }
 
 /** Every owner of the service may be asked. */
-export const OPEN_SHARE: RequestShare = {
+export const UNRESTRICTED_SELECTION: VersionSelection = {
   preferred: undefined,
-  usual: undefined,
+  fallback: undefined,
   noteOffer: () => {},
-  noteReturned: () => {},
-  noteBad: () => {},
+  noteUndelivered: () => {},
+  noteFailure: () => {},
 };
 
 /** What this node has sent under one order, or to one version that nobody ordered. */
@@ -91,7 +91,7 @@
   bad: number;
 }
 
-export function createVersionShares(context: VersionSharesContext): VersionShares {
+export function createVersionSelector(context: VersionSelectorContext): VersionSelector {
   const { bounds, nodes } = context;
   const random = context.random ?? Math.random;
   const rules = createVersionRules(context);
@@ -130,7 +130,7 @@
     return new Set(rankNames(`loaded/${service}`, limited).slice(0, Math.max(MIN_LOADED, wanted)));
   };
 
-  const isTaken = (account: Account, rule: VersionRule, mayBeAny: boolean): NodeCheck => {
+  const isTaken = (account: Account, rule: VersionRule, mayBeAny: boolean): NodePredicate => {
     const { limited, others, phase, plan } = rule;
     const served = plan ? [...limited].filter((node) => plan.owners.has(node)) : [...limited];
     if (phase === RolloutPhase.Ramp || phase === RolloutPhase.Shift) {
@@ -143,12 +143,12 @@
   };
 
   /** The rule may change while a request is tried: it is asked for at each offer. */
-  const shareOf = (service: string, route: string): RequestShare => {
+  const shareOf = (service: string, route: string): VersionSelection => {
     const counted = new Map<string, Account>();
     const draw = random();
     const mayBeAny = random() < SPREAD_SHARE;
     const ruleNow = (): VersionRule | undefined => {
-      const rule = rules.of(service);
+      const rule = rules.ruleFor(service);
       return rule && rule.limited.size > 0 && rule.others.size > 0 ? rule : undefined;
     };
     return {
@@ -158,7 +158,7 @@
         const looksFirst = rule && draw < lookingShareOf(rule, route, exposureShare);
         return looksFirst ? isTaken(accountOf(service, rule.key), rule, mayBeAny) : undefined;
       },
-      get usual() {
+      get fallback() {
         const rule = ruleNow();
         if (!rule) {
           return undefined;
@@ -183,14 +183,14 @@
           counted.set(node, account);
         }
       },
-      noteReturned: (node) => {
+      noteUndelivered: (node) => {
         const account = counted.get(node);
         if (account) {
           account.offers -= 1;
           counted.delete(node);
         }
       },
-      noteBad: (node) => {
+      noteFailure: (node) => {
         const account = counted.get(node);
         if (account) {
           account.bad += 1;
@@ -200,10 +200,10 @@
   };
 
   return {
-    begin: (service, route) => {
-      const rule = bounds() && rules.of(service);
+    select: (service, route) => {
+      const rule = bounds() && rules.ruleFor(service);
       if (!rule) {
-        return OPEN_SHARE;
+        return UNRESTRICTED_SELECTION;
       }
       accountOf(service, rule.key).requests += 1;
       return shareOf(service, route);
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -7,7 +7,7 @@
 import type { PeerCaller } from '../peer/peerCaller.js';
 import type { ZoneRelay } from '../relay/zoneRelay.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
-import { createVersionShares, type VersionShares } from '../rollout/versionShares.js';
+import { createVersionSelector, type VersionSelector } from '../rollout/versionSelector.js';
 import { recordRollout } from './decisionRecords.js';
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
 
@@ -29,7 +29,7 @@
 
 export interface RolloutParts {
   readonly sync: RolloutSync;
-  readonly shares: VersionShares;
+  readonly shares: VersionSelector;
 }
 
 export function createRolloutParts(context: RolloutPartsContext): RolloutParts | undefined {
@@ -59,7 +59,7 @@
     onChange: (change) => recordRollout({ log, metrics }, change),
   });
   const { book } = sync;
-  const shares = createVersionShares({
+  const shares = createVersionSelector({
     clock: clocks.clock,
     bounds: () => settings().rollout,
     applyMs: () => settings().configurationApplyMs,
@@ -70,7 +70,7 @@
       }),
     nodes,
     view: book.view,
-    isListed: () => book.isListed,
+    isSynced: () => book.isSynced,
     withdrawn: book.withdrawn,
   });
   return { sync, shares };
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -24,7 +24,7 @@
 import { type CrashTracker, createCrashTracker } from '../quarantine/crashTracker.js';
 import type { BackEnd } from '../registry/back-end-registry.js';
 import type { ZoneRelay } from '../relay/zoneRelay.js';
-import { OPEN_PASSAGE } from '../rollout/runGate.js';
+import { UNCONDITIONAL_PERMIT } from '../rollout/runLimiter.js';
 import type { ConfigurationFollower } from '../source/configuration-follower.js';
 import { createTenantUseCount } from '../tenants/tenantUse.js';
 import { recordCrash, recordOverdue, recordRequest, recordTask } from './decisionRecords.js';
@@ -107,7 +107,7 @@
     onBackEnd: (backEnd, cause) => onBackEnd(backEnd, cause),
     onRun: (run) => rollouts?.sync.noteRun(run),
     tenantShare: (tenant) => configuration.routes?.tenantShare(tenant) ?? 1,
-    enter: () => (rollouts ? rollouts.sync.enter() : OPEN_PASSAGE),
+    enter: () => (rollouts ? rollouts.sync.enter() : UNCONDITIONAL_PERMIT),
     onTask: (task) => recordTask({ log, metrics }, task, owner.report),
     onOverdue: (run) => recordOverdue({ log, metrics }, run),
   });
