--- a/src/ingress/dispatch.test.ts
+++ b/src/ingress/dispatch.test.ts
@@ -4,7 +4,7 @@
 import { OwnerEntry } from '../directory/owner-entry.js';
 import { createSpillAllowance, LARGE_BODY_BYTES } from '../directory/spillAllowance.js';
 import { EMPTY_BODY } from '../owner/message-body.js';
-import { type Owner, type OwnerOutcome, type OwnerTask, turnedAway } from '../owner/owner.js';
+import { createRejection, type Owner, type OwnerOutcome, type OwnerTask } from '../owner/owner.js';
 import { createCrashTracker } from '../quarantine/crashTracker.js';
 import { Dispatch } from './dispatch.js';
 import { createOfferLimit } from './offerLimit.js';
@@ -89,13 +89,13 @@
 
 describe('Dispatch', () => {
   it('asks the next owner when one turns the task away, without spending an attempt', async () => {
-    const away = turnedAway('busy', 50);
+    const away = createRejection('busy', 50);
     const found = await dispatch([away, away, away, answer(200)], { maxAttempts: 1, slack: 0 });
     expect(found).toMatchObject({ asked: 4, status: 200 });
   });
 
   it('refuses with the expected wait when every owner is busy', async () => {
-    const found = await dispatch([turnedAway('busy', 80), turnedAway('busy', 120)]);
+    const found = await dispatch([createRejection('busy', 80), createRejection('busy', 120)]);
     expect(found).toEqual({
       asked: 2,
       mayWait: [true, true],
@@ -106,7 +106,7 @@
   });
 
   it('sends clients back at the pace of what is served when it has asked enough full owners', async () => {
-    const away = turnedAway('busy', 50);
+    const away = createRejection('busy', 50);
     const found = await dispatch(Array.from({ length: 20 }, () => away));
     expect(found).toMatchObject({ asked: 8, status: 503, code: 'busy', retryAfterMs: 50 });
   });
@@ -140,7 +140,7 @@
   );
 
   describe('when the owners of its own zone are busy', () => {
-    const away = turnedAway('busy', 50);
+    const away = createRejection('busy', 50);
     const zones = ['near', 'far'];
 
     it('sends a small request to another zone', async () => {
@@ -161,14 +161,14 @@
 
   it('queues in its own zone, and takes only free slots of another while its own is up', async () => {
     const zones = ['near', 'far'];
-    const busy = await dispatch([turnedAway('busy', 50), answer(200)], { zones });
+    const busy = await dispatch([createRejection('busy', 50), answer(200)], { zones });
     expect(busy.mayWait).toEqual([true, false]);
-    const alone = await dispatch([turnedAway('draining'), answer(200)], { zones });
+    const alone = await dispatch([createRejection('draining'), answer(200)], { zones });
     expect(alone.mayWait).toEqual([true, true]);
   });
 
   it('looks for room in other zones once two owners of its own have had none', async () => {
-    const away = turnedAway('busy', 50);
+    const away = createRejection('busy', 50);
     const zones = ['near', 'near', 'near', 'near', 'far', 'far'];
     const found = await dispatch([away, away, answer(200), away, away, away], { zones });
     expect(found.asked).toBe(3);
@@ -176,7 +176,7 @@
   });
 
   it('sends a large request to another zone when no owner of its own is up', async () => {
-    const found = await dispatch([turnedAway('draining'), answer(200)], {
+    const found = await dispatch([createRejection('draining'), answer(200)], {
       zones: ['near', 'far'],
       bodyBytes: LARGE_BODY_BYTES,
     });
--- a/src/ingress/ownerTask.ts
+++ b/src/ingress/ownerTask.ts
@@ -59,7 +59,7 @@
     // Set anew for each offer, see `startAttempt`.
     mayWait: true,
     cancellation: admitted.cancellation,
-    heldBody: body.kind === 'bytes' ? body : undefined,
+    bufferedBody: body.kind === 'bytes' ? body : undefined,
     loadBody: () => Promise.resolve(body),
     onProgress: () => {},
   };
--- a/src/owner/admission-control.test.ts
+++ b/src/owner/admission-control.test.ts
@@ -18,11 +18,11 @@
   const admission = new AdmissionControl();
   admission.setSlots(slots, 0);
   for (let index = 0; index < 200; index += 1) {
-    admission.started({}, 0);
-    admission.finished(request(), serviceMs, 0);
+    admission.noteStarted({}, 0);
+    admission.noteFinished(request(), serviceMs, 0);
   }
   for (let index = 0; index < slots; index += 1) {
-    admission.started({}, 0);
+    admission.noteStarted({}, 0);
   }
   return admission;
 }
@@ -32,7 +32,7 @@
     request: asked,
     since: 0,
     admit: () => fate.push(`${name} runs`),
-    turnAway: () => fate.push(`${name} is turned away`),
+    reject: () => fate.push(`${name} is turned away`),
   };
 }
 
@@ -41,40 +41,40 @@
     const admission = new AdmissionControl();
     admission.setSlots(1, 0);
     expect(admission.decide(request(), 0)).toEqual({ kind: 'run' });
-    admission.started({}, 0);
+    admission.noteStarted({}, 0);
     expect(admission.decide(request(), 0).kind).not.toBe('run');
   });
 
   it('runs a task that asks for it alone, and holds up what would run beside it', () => {
     const admission = new AdmissionControl();
     const fate: string[] = [];
-    const alone = request({ runsAlone: true });
+    const alone = request({ isExclusive: true });
     admission.setSlots(3, 0);
-    admission.started({}, 0);
+    admission.noteStarted({}, 0);
     expect(admission.decide(alone, 0).kind).toBe('wait');
     admission.enqueue({
       ...waiterOf(alone, fate, 'alone'),
       admit: () => {
-        admission.started(alone, 0);
+        admission.noteStarted(alone, 0);
         fate.push('alone runs');
       },
     });
     expect(admission.decide(request(), 0).kind).toBe('wait');
     admission.enqueue(waiterOf(request(), fate, 'next'));
     expect(admission.decide(request({ priority: 0 }), 0).kind).toBe('run');
-    admission.started({}, 0);
-    admission.finished(request(), 10, 1);
+    admission.noteStarted({}, 0);
+    admission.noteFinished(request(), 10, 1);
     expect(fate).toEqual([]);
-    admission.finished(request(), 10, 1);
+    admission.noteFinished(request(), 10, 1);
     expect(fate).toEqual(['alone runs']);
     expect(admission.decide(request({ priority: 0 }), 1).kind).not.toBe('run');
-    admission.finished(alone, 10, 2);
+    admission.noteFinished(alone, 10, 2);
     expect(fate).toEqual(['alone runs', 'next runs']);
   });
 
   it('turns a task away that asks to run alone where what runs would be done too late', () => {
     const admission = full(4, 100);
-    const alone = request({ runsAlone: true, targetAt: 180 });
+    const alone = request({ isExclusive: true, targetAt: 180 });
     expect(admission.decide(request({ targetAt: 180 }), 0).kind).toBe('wait');
     expect(admission.decide(alone, 0).kind).toBe('busy');
   });
@@ -91,15 +91,15 @@
     const admission = full(2, 100);
     expect(admission.decide(request({ mayWait: false }), 0).kind).toBe('busy');
     expect(admission.decide(request(), 0).kind).toBe('wait');
-    admission.finished(request(), 100, 0);
+    admission.noteFinished(request(), 100, 0);
     expect(admission.decide(request({ mayWait: false }), 0).kind).toBe('run');
   });
 
   it('counts on more urgent tasks to arrive while a less urgent one waits', () => {
     const admission = full(2, 100);
     for (let index = 0; index < 400; index += 1) {
-      admission.started({}, 0);
-      admission.finished(request({ priority: index % 2 }), 100, 0);
+      admission.noteStarted({}, 0);
+      admission.noteFinished(request({ priority: index % 2 }), 100, 0);
     }
     // One ahead of it on average costs 50 ms, and half of the time goes to what is more urgent.
     expect(admission.decide(request({ targetAt: 160 }), 0).kind).toBe('busy');
@@ -114,8 +114,8 @@
     admission.enqueue(waiterOf(request({ priority: 1 }), fate, 'first'));
     admission.enqueue(waiterOf(request({ priority: 1 }), fate, 'second'));
     for (let index = 0; index < 3; index += 1) {
-      admission.finished(request(), 10, 20);
-      admission.started({}, 0);
+      admission.noteFinished(request(), 10, 20);
+      admission.noteStarted({}, 0);
     }
     expect(fate).toEqual(['first runs', 'second runs', 'background runs']);
   });
@@ -125,7 +125,7 @@
     const fate: string[] = [];
     admission.enqueue(waiterOf(request({ targetAt: 150 }), fate, 'stale'));
     admission.enqueue(waiterOf(request({ targetAt: 900 }), fate, 'fresh'));
-    admission.finished(request(), 100, 120);
+    admission.noteFinished(request(), 100, 120);
     expect(fate).toEqual(['stale is turned away', 'fresh runs']);
   });
 
@@ -136,8 +136,8 @@
     admission.enqueue(waiterOf(request({ isCall: true }), fate, 'call'));
     admission.enqueue(waiterOf(request({ priority: 0 }), fate, 'urgent client'));
     for (let index = 0; index < 3; index += 1) {
-      admission.finished(request(), 10, 20);
-      admission.started(request(), 0);
+      admission.noteFinished(request(), 10, 20);
+      admission.noteStarted(request(), 0);
     }
     expect(fate).toEqual(['urgent client runs', 'call runs', 'client runs']);
   });
@@ -155,7 +155,7 @@
     const call = request({ isCall: true });
     admission.setSlots(4, 0);
     for (let index = 0; index < 4; index += 1) {
-      admission.started(call, 0);
+      admission.noteStarted(call, 0);
     }
     for (const [name, asked] of [
       ['call', call],
@@ -165,14 +165,14 @@
       admission.enqueue({
         ...waiter,
         admit: () => {
-          admission.started(asked, 10);
+          admission.noteStarted(asked, 10);
           waiter.admit();
         },
       });
     }
-    admission.finished(call, 10, 10);
+    admission.noteFinished(call, 10, 10);
     expect(fate).toEqual(['client runs']);
-    admission.finished(call, 10, 10);
+    admission.noteFinished(call, 10, 10);
     expect(fate).toEqual(['client runs', 'call runs']);
   });
 
@@ -182,7 +182,7 @@
     const waiter = waiterOf(request(), fate, 'gone');
     admission.enqueue(waiter);
     admission.remove(waiter);
-    admission.finished(request(), 10, 10);
+    admission.noteFinished(request(), 10, 10);
     expect(fate).toEqual([]);
   });
 
@@ -198,21 +198,21 @@
         admission.setSlots(5, 0);
         let running = 0;
         const begin = () => {
-          admission.started({}, 0);
+          admission.noteStarted({}, 0);
           running += 1;
           expect(running).toBeLessThanOrEqual(5);
         };
         steps.forEach(({ kind, priority }, now) => {
           if (kind === 'finish' && running > 0) {
             running -= 1;
-            admission.finished(request(), 10, now);
+            admission.noteFinished(request(), 10, now);
           } else if (kind === 'arrive') {
             const asked = request({ priority, targetAt: now + 500 });
             const decision = admission.decide(asked, now);
             if (decision.kind === 'run') {
               begin();
             } else if (decision.kind === 'wait') {
-              admission.enqueue({ request: asked, since: now, admit: begin, turnAway: () => {} });
+              admission.enqueue({ request: asked, since: now, admit: begin, reject: () => {} });
             }
           }
         });
--- a/src/owner/admission-control.ts
+++ b/src/owner/admission-control.ts
@@ -5,11 +5,16 @@
  * tenants take turns.
  */
 
-import { createCallTurns, type QueuedTurn, rankOf, type TurnContext } from './callTurns.js';
+import {
+  createCallScheduler,
+  rankOf,
+  type SchedulingContext,
+  type WaitingTask,
+} from './callScheduler.js';
+import { createPriorityLoad } from './priorityLoad.js';
 import { drainMs, type QueueWaitContext, queueWaitMs } from './queueWait.js';
 import { createServiceTimes, type ServiceTimes } from './serviceTimes.js';
-import { createTenantTurns, type TenantShare, type TenantTurns } from './tenantTurns.js';
-import { createUrgencyMix } from './urgencyMix.js';
+import { createTenantFairness, type TenantFairness, type TenantShare } from './tenantFairness.js';
 
 /** What a task asks for. */
 export interface AdmissionRequest {
@@ -23,16 +28,16 @@
   /** False if the task is turned away unless a slot is free. */
   readonly mayWait: boolean;
   /** True if nothing else may run beside the task. */
-  readonly runsAlone?: boolean;
+  readonly isExclusive?: boolean;
   /** True if a running back end waits for the answer. */
   readonly isCall?: boolean;
 }
 
 /** What is told of a task that begins. */
-export type StartedTask = Pick<AdmissionRequest, 'tenant' | 'runsAlone' | 'isCall'>;
+export type StartedTask = Pick<AdmissionRequest, 'tenant' | 'isExclusive' | 'isCall'>;
 
 /** What is told of a task that has ended. */
-export type AdmittedTask = Pick<AdmissionRequest, 'route' | 'priority' | 'runsAlone' | 'isCall'>;
+export type AdmittedTask = Pick<AdmissionRequest, 'route' | 'priority' | 'isExclusive' | 'isCall'>;
 
 /** A task that waits. */
 export interface Waiter {
@@ -41,14 +46,14 @@
   /** Called once when the task may run. */
   admit(): void;
   /** Called once when the task is turned away after all. */
-  turnAway(retryAfterMs: number): void;
+  reject(retryAfterMs: number): void;
 }
 
 /** A task in the queue. */
 interface QueuedTask {
   readonly waiter: Waiter;
   /** True if it waits behind those of other tenants that are equally urgent. */
-  readonly isBehind: boolean;
+  readonly isOverShare: boolean;
 }
 
 /** The answer to a task's arrival. */
@@ -67,18 +72,18 @@
 export class AdmissionControl {
   /** In order of rank, then those that are not behind, then of arrival. */
   private readonly waiting: QueuedTask[] = [];
-  private readonly tenantTurns: TenantTurns;
-  private readonly mix = createUrgencyMix();
-  private readonly callTurns = createCallTurns();
+  private readonly tenantFairness: TenantFairness;
+  private readonly priorityLoad = createPriorityLoad();
+  private readonly callScheduler = createCallScheduler();
   private running = 0;
   private slots = 0;
-  private hasAloneTask = false;
+  private isRunningExclusive = false;
 
   constructor(
     private readonly times: ServiceTimes = createServiceTimes(),
     shareOf: TenantShare = () => 1,
   ) {
-    this.tenantTurns = createTenantTurns(shareOf);
+    this.tenantFairness = createTenantFairness(shareOf);
   }
 
   get inFlight(): number {
@@ -115,7 +120,7 @@
     if (isFirst && this.hasRoomFor(request)) {
       return { kind: 'run' };
     }
-    const isBehind = this.tenantTurns.isBehind(request.tenant, now);
+    const isBehind = this.tenantFairness.isOverShare(request.tenant, now);
     const isFull = this.isFull && !this.displacedBy(request, isBehind);
     const ahead = this.placeOf(request, isBehind);
     if (!request.mayWait || !this.isInTime(request, ahead, now) || isFull) {
@@ -125,24 +130,24 @@
   }
 
   /** A task begins to run. */
-  started({ tenant, runsAlone = false, isCall = false }: StartedTask, now: number): void {
+  noteStarted({ tenant, isExclusive = false, isCall = false }: StartedTask, now: number): void {
     this.running += 1;
-    this.callTurns.noteStarted({ isCall });
-    this.hasAloneTask = runsAlone;
-    this.tenantTurns.note(tenant, now);
+    this.callScheduler.noteStarted({ isCall });
+    this.isRunningExclusive = isExclusive;
+    this.tenantFairness.note(tenant, now);
   }
 
   /**
    * A task has ended; `serviceMs` is undefined when its time says nothing of the back end, and `slowness`
    * is what the back end told meanwhile.
    */
-  finished(task: AdmittedTask, serviceMs: number | undefined, now: number, slowness = 1): void {
+  noteFinished(task: AdmittedTask, serviceMs: number | undefined, now: number, slowness = 1): void {
     const { route } = task;
     this.running -= 1;
-    this.callTurns.noteEnded(task);
-    this.hasAloneTask = false;
+    this.callScheduler.noteEnded(task);
+    this.isRunningExclusive = false;
     if (serviceMs !== undefined) {
-      this.mix.note(rankOf(task), serviceMs);
+      this.priorityLoad.note(rankOf(task), serviceMs);
       this.times.note(route, serviceMs, slowness);
     }
     this.fill(now);
@@ -151,13 +156,13 @@
   /** Adds a task after `wait`; another tenant's task may have to give up its place for it. */
   enqueue(waiter: Waiter): void {
     const { tenant } = waiter.request;
-    const isBehind = this.tenantTurns.isBehind(tenant, waiter.since);
-    const displaced = this.displacedBy(waiter.request, isBehind);
+    const isOverShare = this.tenantFairness.isOverShare(tenant, waiter.since);
+    const displaced = this.displacedBy(waiter.request, isOverShare);
     const wasFull = this.isFull;
-    this.waiting.splice(this.placeOf(waiter.request, isBehind), 0, { waiter, isBehind });
+    this.waiting.splice(this.placeOf(waiter.request, isOverShare), 0, { waiter, isOverShare });
     if (displaced && (wasFull || !this.isStillInTime(displaced, waiter.since))) {
       this.remove(displaced);
-      displaced.turnAway(this.retryAfterMs());
+      displaced.reject(this.retryAfterMs());
     }
   }
 
@@ -170,9 +175,9 @@
   }
 
   /** Turns away every task that waits. */
-  turnAllAway(): void {
+  rejectAllWaiting(): void {
     for (const { waiter } of this.waiting.splice(0)) {
-      waiter.turnAway(MIN_RETRY_AFTER_MS);
+      waiter.reject(MIN_RETRY_AFTER_MS);
     }
   }
 
@@ -181,20 +186,21 @@
     return Math.max(MIN_RETRY_AFTER_MS, drainMs(requestsOf(this.waiting), this.context));
   }
 
-  private turnContext(now: number): TurnContext {
-    const latestStartAt: TurnContext['latestStartAt'] = (request) => this.latestStartAt(request);
+  private turnContext(now: number): SchedulingContext {
+    const latestStartAt: SchedulingContext['latestStartAt'] = (request) =>
+      this.latestStartAt(request);
     return { slots: this.slots, now, latestStartAt };
   }
 
-  private hasRoomFor({ runsAlone }: AdmissionRequest): boolean {
-    const limit = runsAlone ? Math.min(1, this.slots) : this.slots;
-    return this.running < limit && !this.hasAloneTask;
+  private hasRoomFor({ isExclusive }: AdmissionRequest): boolean {
+    const limit = isExclusive ? Math.min(1, this.slots) : this.slots;
+    return this.running < limit && !this.isRunningExclusive;
   }
 
   /** A task that runs alone holds up those behind it until the back end has nothing else to do. */
   private fill(now: number): void {
     for (;;) {
-      const next = this.callTurns.next(
+      const next = this.callScheduler.next(
         this.waiting.map(({ waiter }) => waiter),
         this.turnContext(now),
       );
@@ -203,7 +209,7 @@
       }
       this.remove(next);
       if (now > this.latestStartAt(next.request)) {
-        next.turnAway(this.retryAfterMs());
+        next.reject(this.retryAfterMs());
       } else {
         next.admit();
       }
@@ -217,7 +223,7 @@
   /** The task that this one may push out: the last equally urgent one, if that is behind its tenant's share and this one is not. */
   private displacedBy({ priority }: AdmissionRequest, isBehind: boolean): Waiter | undefined {
     const last = this.waiting.findLast(({ waiter }) => waiter.request.priority === priority);
-    return !isBehind && last?.isBehind ? last.waiter : undefined;
+    return !isBehind && last?.isOverShare ? last.waiter : undefined;
   }
 
   private isStillInTime(waiter: Waiter, now: number): boolean {
@@ -226,7 +232,7 @@
   }
 
   private isInTime(request: AdmissionRequest, ahead: number, now: number): boolean {
-    const aloneMs = request.runsAlone ? this.times.overallMs : 0;
+    const aloneMs = request.isExclusive ? this.times.overallMs : 0;
     const waitMs = Math.max(this.expectedWaitMs(request, ahead), aloneMs);
     return now + waitMs + this.expectedServiceMs(request.route) <= horizonOf(request);
   }
@@ -236,7 +242,7 @@
   }
 
   private get context(): QueueWaitContext {
-    return { slots: this.slots, times: this.times, mix: this.mix };
+    return { slots: this.slots, times: this.times, priorityLoad: this.priorityLoad };
   }
 
   /** Milliseconds that the back end is expected to take for a task of a route. */
@@ -245,14 +251,14 @@
   }
 
   /** Steady time in milliseconds by which a task must have begun to be in time. */
-  latestStartAt(request: QueuedTurn['request']): number {
+  latestStartAt(request: WaitingTask['request']): number {
     return horizonOf(request) - this.expectedServiceMs(request.route);
   }
 
   /** How many go before a task that comes. */
   private placeOf(request: AdmissionRequest, isBehind: boolean): number {
     const rank = rankOf(request);
-    const goesAfter = ({ waiter, isBehind: other }: QueuedTask): boolean => {
+    const goesAfter = ({ waiter, isOverShare: other }: QueuedTask): boolean => {
       const otherRank = rankOf(waiter.request);
       return otherRank > rank || (otherRank === rank && other && !isBehind);
     };
--- a/src/owner/admissionLoad.test.ts
+++ b/src/owner/admissionLoad.test.ts
@@ -61,14 +61,14 @@
     };
     let clock = now;
     const run = () => {
-      admission.started(request, clock);
+      admission.noteStarted(request, clock);
       const workMs = kind.workMs * (1 + kind.spread * (2 * random() - 1));
       plan(clock + workMs, (end) => {
         const isInTime = end <= request.targetAt;
         fate.inTime += isInTime ? 1 : 0;
         fate.late += isInTime ? 0 : 1;
         running = end;
-        admission.finished(request, workMs, end);
+        admission.noteFinished(request, workMs, end);
       });
     };
     const refuse = (at: number) => {
@@ -91,7 +91,7 @@
           clock = running;
           run();
         },
-        turnAway: () => {
+        reject: () => {
           waits = false;
           refuse(running);
         },
--- a/src/owner/admissionTurns.test.ts
+++ b/src/owner/admissionScheduling.test.ts
@@ -38,7 +38,7 @@
   const count = (of: Map<string, number>, tenant: string) =>
     of.set(tenant, (of.get(tenant) ?? 0) + 1);
   const run = ({ tenant, request }: Arrival): void => {
-    admission.started(request, now);
+    admission.noteStarted(request, now);
     ends.push({ at: now + SERVICE_MS, request });
     if (now + SERVICE_MS <= request.targetAt) {
       count(served, tenant);
@@ -51,14 +51,14 @@
       run(arrival);
     } else if (kind === 'wait') {
       const { request } = arrival;
-      admission.enqueue({ request, since: now, admit: () => run(arrival), turnAway: () => {} });
+      admission.enqueue({ request, since: now, admit: () => run(arrival), reject: () => {} });
     }
   };
   admission.setSlots(SLOTS, 0);
   for (; now < SPAN_MS; now += 1) {
     for (let due = ends[0]; due && due.at <= now; due = ends[0]) {
       ends.shift();
-      admission.finished(due.request, SERVICE_MS, now);
+      admission.noteFinished(due.request, SERVICE_MS, now);
     }
     for (const [tenant, perS] of sent) {
       if (random() < perS / 1_000) {
@@ -124,10 +124,10 @@
     const admission = new AdmissionControl(undefined, shareOf);
     admission.setSlots(1, 0);
     for (let index = 0; index < 200; index += 1) {
-      admission.started({}, 0);
-      admission.finished(request(undefined), 10, 0);
+      admission.noteStarted({}, 0);
+      admission.noteFinished(request(undefined), 10, 0);
     }
-    admission.started({}, 0);
+    admission.noteStarted({}, 0);
     return { admission, fate: [] };
   }
 
@@ -135,15 +135,15 @@
     request: asked,
     since: 0,
     admit: () => fate.push(`${name} runs`),
-    turnAway: () => fate.push(`${name} is turned away`),
+    reject: () => fate.push(`${name} is turned away`),
   });
 
   /** Tenant `a` has had all of late, and more than its share. */
   function crowdedOwner(): { admission: AdmissionControl; fate: string[] } {
     const owner = fullOwner(() => 0.1);
     for (let index = 0; index < 20; index += 1) {
-      owner.admission.finished(request('a'), 10, 0);
-      owner.admission.started({ tenant: 'a' }, 0);
+      owner.admission.noteFinished(request('a'), 10, 0);
+      owner.admission.noteStarted({ tenant: 'a' }, 0);
     }
     return owner;
   }
@@ -175,8 +175,8 @@
     admission.enqueue(waiterOf(request('a', 1), fate, 'a1'));
     admission.enqueue(waiterOf(request('b', 1), fate, 'b'));
     for (let index = 0; index < 3; index += 1) {
-      admission.finished(request(undefined), 10, 20);
-      admission.started({}, 20);
+      admission.noteFinished(request(undefined), 10, 20);
+      admission.noteStarted({}, 20);
     }
     expect(fate).toEqual(['a0 runs', 'b runs', 'a1 runs']);
   });
@@ -196,17 +196,17 @@
         steps.forEach(({ arrives, priority, tenant, withinMs }, now) => {
           const asked = request(tenant, priority, now + withinMs);
           if (!arrives && admission.inFlight > 0) {
-            admission.finished(asked, 10, now);
+            admission.noteFinished(asked, 10, now);
           } else if (arrives && admission.decide(asked, now).kind === 'wait') {
             const admit = () => {
-              admission.started(asked, now);
+              admission.noteStarted(asked, now);
               settle(now);
             };
-            admission.enqueue({ request: asked, since: now, admit, turnAway: () => settle(now) });
+            admission.enqueue({ request: asked, since: now, admit, reject: () => settle(now) });
           }
           expect(admission.inFlight).toBeLessThanOrEqual(1);
         });
-        admission.turnAllAway();
+        admission.rejectAllWaiting();
         expect(admission.queued).toBe(0);
         expect([...settled.values()].every((times) => times === 1)).toBe(true);
       }),
@@ -220,8 +220,8 @@
       admission.enqueue(waiterOf(request(undefined), fate, name));
     }
     for (let index = 0; index < 3; index += 1) {
-      admission.finished(request(undefined), 10, 20);
-      admission.started({}, 0);
+      admission.noteFinished(request(undefined), 10, 20);
+      admission.noteStarted({}, 0);
     }
     expect(fate).toEqual(['first runs', 'second runs', 'third runs']);
   });
--- a/src/owner/back-end-call.ts
+++ b/src/owner/back-end-call.ts
@@ -43,7 +43,7 @@
   /** What the back end's answer told of its load, if there was one that did. */
   readonly load?: LoadReport | undefined;
   /** True when a connection that was kept from earlier requests brought nothing until the end. */
-  readonly keptWasSilent?: boolean;
+  readonly wasReusedConnectionSilent?: boolean;
 }
 
 /** Sends the task; resolves once, never rejects. */
@@ -62,7 +62,7 @@
   private hasAnswer = false;
   private load: LoadReport | undefined;
   private request: http.ClientRequest | undefined;
-  private forget: () => void = () => {};
+  private removeCancelListener: () => void = () => {};
   private resolve: (result: BackEndCallResult) => void = () => {};
 
   constructor(
@@ -83,12 +83,12 @@
       request.on('socket', (socket) => this.onSocket(request, socket));
       request.on('response', (response) => void this.onResponse(request, response));
       request.on('error', (error) => this.onError(error));
-      this.forget = this.task.cancellation.onCancel(() => {
+      this.removeCancelListener = this.task.cancellation.onCancel(() => {
         request.destroy();
         if (this.sent) {
-          const keptWasSilent = request.reusedSocket && !this.hasAnswer;
+          const wasReusedConnectionSilent = request.reusedSocket && !this.hasAnswer;
           const outcome = { kind: 'unknown', reason: 'cancelled' } as const;
-          this.settle({ outcome, unreachable: false, keptWasSilent });
+          this.settle({ outcome, unreachable: false, wasReusedConnectionSilent });
         } else {
           this.notRun('cancelled', false);
         }
@@ -169,22 +169,22 @@
       this.notRun(wrongInstance ? 'other-instance' : 'rejected-by-back-end', true);
       return;
     }
-    if (this.isSpoilt(response)) {
+    if (this.isInvalidAnswer(response)) {
       request.destroy();
       this.unknown('spoilt-answer');
       return;
     }
-    await this.takeAnswer(request, response);
+    await this.readAnswer(request, response);
   }
 
-  private isSpoilt(response: http.IncomingMessage): boolean {
+  private isInvalidAnswer(response: http.IncomingMessage): boolean {
     const status = response.statusCode ?? 0;
     const isSuccess = status >= 200 && status < 300;
     const isSigned = response.headers[this.options.names.signature.toLowerCase()] !== undefined;
     return response.headers['content-encoding'] !== undefined || (isSuccess && !isSigned);
   }
 
-  private async takeAnswer(
+  private async readAnswer(
     request: http.ClientRequest,
     response: http.IncomingMessage,
   ): Promise<void> {
@@ -241,7 +241,7 @@
   private settle(result: BackEndCallResult): void {
     if (!this.settled) {
       this.settled = true;
-      this.forget();
+      this.removeCancelListener();
       this.resolve({ ...result, load: this.load });
     }
   }
--- a/src/owner/back-end-presence.test.ts
+++ b/src/owner/back-end-presence.test.ts
@@ -44,13 +44,13 @@
         service: () => 'desk',
         backEndAddress: () => application.address,
         healthPath: () => '/health',
-        isNamed: () => true,
+        isServiceConfigured: () => true,
         drainMs: () => drainMs,
       },
       {
-        onNewLife: () => {},
+        onNewIncarnation: () => {},
         onReady: () => resolve(),
-        onClosed: () => {
+        onUnavailable: () => {
           closed += 1;
         },
         onChange: () => {},
@@ -87,9 +87,9 @@
     vi.advanceTimersByTime(QUEUE_BOUND_MS - 3_000);
     expect(closed).toBe(1);
     now = SEND_BOUND_MS - 1;
-    expect(presence.sendObstacle()).toBeUndefined();
+    expect(presence.sendRejectionReason()).toBeUndefined();
     now = SEND_BOUND_MS;
-    expect(presence.sendObstacle()).toBe('draining');
+    expect(presence.sendRejectionReason()).toBe('draining');
     vi.advanceTimersByTime(DRAIN_MS);
     expect(closed).toBe(1);
   });
@@ -99,7 +99,7 @@
     drainMs *= 2;
     presence.deregister({ instance: application.instance, bornAt: 1 });
     now = SEND_BOUND_MS;
-    expect(presence.sendObstacle()).toBe('draining');
+    expect(presence.sendRejectionReason()).toBe('draining');
   });
 
   it('is another one in the next life', () => {
@@ -109,13 +109,13 @@
     presence.heartbeat(beat(1, { bornAt: 2 }));
     now = SEND_BOUND_MS;
     vi.advanceTimersByTime(SEND_BOUND_MS);
-    expect(presence.sendObstacle()).toBeUndefined();
+    expect(presence.sendRejectionReason()).toBeUndefined();
     expect(closed).toBe(0);
     presence.heartbeat(beat(2, { bornAt: 2, state: 'draining' }));
     now = 2 * SEND_BOUND_MS - 1;
-    expect(presence.sendObstacle()).toBeUndefined();
+    expect(presence.sendRejectionReason()).toBeUndefined();
     now = 2 * SEND_BOUND_MS;
-    expect(presence.sendObstacle()).toBe('draining');
+    expect(presence.sendRejectionReason()).toBe('draining');
   });
 
   it('is another one in a life that is first heard of as it leaves', () => {
@@ -123,6 +123,6 @@
     now = 3_000;
     presence.heartbeat(beat(1, { bornAt: 2, state: 'draining' }));
     now = 3_000 + SEND_BOUND_MS - 1;
-    expect(presence.sendObstacle()).toBeUndefined();
+    expect(presence.sendRejectionReason()).toBeUndefined();
   });
 });
--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -11,7 +11,7 @@
 } from '../registry/back-end-registry.js';
 import { type BackEndIncarnation, isSameIncarnation } from '../registry/backEndIncarnation.js';
 import type { HeaderNames } from './header-names.js';
-import { askHealth } from './health-question.js';
+import { checkHealth } from './healthCheck.js';
 import type { NotRunReason } from './owner.js';
 
 /** Time between two health questions while the back end's state is not known, in milliseconds. */
@@ -34,7 +34,7 @@
   /** Path of the health question, or undefined while no configuration is known. */
   readonly healthPath: (service: string) => string | undefined;
   /** True unless the configuration is known and names no such service. */
-  readonly isNamed: (service: string) => boolean;
+  readonly isServiceConfigured: (service: string) => boolean;
   /** Milliseconds after an acknowledged drain in which work may still begin. */
   readonly drainMs: () => number;
 }
@@ -42,11 +42,11 @@
 /** Hears of the back end's comings and goings. */
 export interface BackEndPresenceListener {
   /** Another life of the back end, or another back end, is there; called before the others. */
-  onNewLife(life: BackEndIncarnation): void;
+  onNewIncarnation(life: BackEndIncarnation): void;
   /** Another life, or other slots: work may be sent. */
   onReady(backEnd: BackEnd): void;
   /** Tasks that wait must not be sent any more. */
-  onClosed(): void;
+  onUnavailable(): void;
   /** Anything that others may want to know. */
   onChange(backEnd: BackEnd | undefined, cause: string): void;
 }
@@ -59,9 +59,9 @@
   private unreachable = false;
   /** Steady time in milliseconds after which nothing may be sent to a back end that leaves. */
   private sendUntil = Number.POSITIVE_INFINITY;
-  private asking = false;
+  private isCheckingHealth = false;
   private timer: NodeJS.Timeout | undefined;
-  private fence: NodeJS.Timeout | undefined;
+  private drainTimer: NodeJS.Timeout | undefined;
 
   constructor(
     private readonly options: BackEndPresenceOptions,
@@ -70,13 +70,13 @@
 
   /** Begins to look for the back end. */
   start(): void {
-    this.timer = setInterval(() => this.askIfNeeded(), HEALTH_INTERVAL_MS);
-    this.askIfNeeded();
+    this.timer = setInterval(() => this.checkHealthIfNeeded(), HEALTH_INTERVAL_MS);
+    this.checkHealthIfNeeded();
   }
 
   stop(): void {
     clearInterval(this.timer);
-    clearTimeout(this.fence);
+    clearTimeout(this.drainTimer);
   }
 
   get backEnd(): BackEnd | undefined {
@@ -84,20 +84,20 @@
   }
 
   /** True when the back end has said that it leaves. */
-  get isLeaving(): boolean {
+  get isDraining(): boolean {
     return this.registry.current?.state === 'draining';
   }
 
   /** Why no new task may be taken, if so. */
-  obstacle(): NotRunReason | undefined {
+  rejectionReason(): NotRunReason | undefined {
     if (!this.backEnd || this.unreachable) {
       return 'no-back-end';
     }
-    return this.isLeaving ? 'draining' : undefined;
+    return this.isDraining ? 'draining' : undefined;
   }
 
   /** Why a task that was admitted may not be sent any more, if so. */
-  sendObstacle(): NotRunReason | undefined {
+  sendRejectionReason(): NotRunReason | undefined {
     return this.options.beliefClock.now() >= this.sendUntil ? 'draining' : undefined;
   }
 
@@ -106,12 +106,12 @@
    * nobody names: of no back end to use, and not in place of one that is known.
    */
   heartbeat(beat: Heartbeat): boolean {
-    if (beat.service !== this.backEnd?.service && !this.options.isNamed(beat.service)) {
+    if (beat.service !== this.backEnd?.service && !this.options.isServiceConfigured(beat.service)) {
       return false;
     }
     const result = this.registry.heartbeat(beat, this.options.beliefClock.now());
     if (result === 'unverified') {
-      this.askIfNeeded();
+      this.checkHealthIfNeeded();
     } else if (result === 'applied' && this.isPresent(beat)) {
       this.setReachable(true);
     }
@@ -140,7 +140,7 @@
     }
     this.unreachable = !reachable;
     if (!reachable) {
-      this.listener.onClosed();
+      this.listener.onUnavailable();
     }
     this.listener.onChange(this.backEnd, reachable ? 'reachable' : 'unreachable');
   }
@@ -148,9 +148,9 @@
   private onBackEnd(backEnd: BackEnd, isNewLife: boolean): void {
     if (isNewLife) {
       // The drain of the life before does not bind the next one.
-      clearTimeout(this.fence);
+      clearTimeout(this.drainTimer);
       this.sendUntil = Number.POSITIVE_INFINITY;
-      this.listener.onNewLife(backEnd);
+      this.listener.onNewIncarnation(backEnd);
     }
     if (backEnd.state === 'ready') {
       this.unreachable = false;
@@ -164,30 +164,33 @@
   /** Once in a life: what it says of its drain later moves no bound that was acknowledged. */
   private beginDrain(): void {
     const { beliefClock, drainMs } = this.options;
-    this.fence = setTimeout(() => this.listener.onClosed(), drainMs() * DRAIN_QUEUE_SHARE);
+    this.drainTimer = setTimeout(
+      () => this.listener.onUnavailable(),
+      drainMs() * DRAIN_QUEUE_SHARE,
+    );
     this.sendUntil = beliefClock.now() + drainMs() * DRAIN_SEND_SHARE;
   }
 
   /** Asks the back end who it is while that is not known. */
-  askIfNeeded(): void {
+  checkHealthIfNeeded(): void {
     const { pendingHeartbeat } = this.registry;
     const isKnown =
       this.backEnd !== undefined && !this.unreachable && pendingHeartbeat === undefined;
     const service = pendingHeartbeat?.service ?? this.options.service();
     const path = this.options.healthPath(service);
-    if (isKnown || this.asking || path === undefined) {
+    if (isKnown || this.isCheckingHealth || path === undefined) {
       return;
     }
-    this.asking = true;
+    this.isCheckingHealth = true;
     const address = pendingHeartbeat?.address ?? this.options.backEndAddress();
-    void askHealth(address, path, this.options.names)
+    void checkHealth(address, path, this.options.names)
       .then((report) => {
         if (report) {
           this.onHealth(report, service, address);
         }
       })
       .finally(() => {
-        this.asking = false;
+        this.isCheckingHealth = false;
       });
   }
 
--- a/src/owner/back-end-agent.test.ts
+++ b/src/owner/backEndConnections.test.ts
@@ -1,7 +1,7 @@
 import http from 'node:http';
 import net from 'node:net';
 import { expect, test } from 'vitest';
-import { BackEndConnections } from './back-end-agent.js';
+import { BackEndConnections } from './backEndConnections.js';
 
 /** Sooner than an idle connection is closed for its age, in milliseconds. */
 const GUARD_LIMIT_MS = 1_000;
--- a/src/owner/back-end-agent.ts
+++ b/src/owner/backEndConnections.ts
@@ -14,7 +14,7 @@
 class GuardedAgent extends http.Agent {
   private readonly guards = new WeakMap<Socket, () => void>();
   /** False once another life of the back end is there: what is open leads to the one before. */
-  keeps = true;
+  keepsConnections = true;
 
   constructor() {
     super({ keepAlive: true, timeout: IDLE_LIMIT_MS, scheduling: 'lifo' });
@@ -22,7 +22,8 @@
 
   /** Called by Node when a request has left its connection free. */
   override keepSocketAlive(socket: Socket): boolean {
-    const keep = this.keeps && (super.keepSocketAlive(socket as never) as unknown as boolean);
+    const keep =
+      this.keepsConnections && (super.keepSocketAlive(socket as never) as unknown as boolean);
     const guard = () => socket.destroy();
     this.guards.set(socket, guard);
     socket.on('data', guard);
@@ -42,32 +43,32 @@
 
 /** The connections of one node to its back ends. */
 export class BackEndConnections {
-  private kept = new GuardedAgent();
-  private readonly fresh = new http.Agent({ keepAlive: false });
+  private reusableAgent = new GuardedAgent();
+  private readonly singleUseAgent = new http.Agent({ keepAlive: false });
 
   /**
    * The agent for a request. One that may not be repeated gets a connection of
    * its own: on a reused one a reset would leave open whether it was run.
    */
   agentFor(repeatable: boolean): http.Agent {
-    return repeatable ? this.kept : this.fresh;
+    return repeatable ? this.reusableAgent : this.singleUseAgent;
   }
 
   /** Closes kept connections that are idle, after one that was kept brought no answer. */
   closeIdle(): void {
-    closeIdleConnections(this.kept);
+    closeIdleConnections(this.reusableAgent);
   }
 
   /** Another life of the back end is there: what leads to the one before is not used again. */
-  renew(): void {
+  reset(): void {
     this.closeIdle();
-    this.kept.keeps = false;
-    this.kept = new GuardedAgent();
+    this.reusableAgent.keepsConnections = false;
+    this.reusableAgent = new GuardedAgent();
   }
 
   /** Closes what is idle. */
   close(): void {
-    this.kept.destroy();
-    this.fresh.destroy();
+    this.reusableAgent.destroy();
+    this.singleUseAgent.destroy();
   }
 }
--- a/src/owner/backEndObservations.ts
+++ b/src/owner/backEndObservations.ts
@@ -3,16 +3,16 @@
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { createBackEndLoad } from './backEndLoad.js';
 import { createFailureShare } from './failureShare.js';
-import { createHangWatch } from './hangWatch.js';
+import { createHangDetector } from './hangDetector.js';
 import type { LoadReport } from './loadReport.js';
 import type { OwnerOutcome, OwnerTask } from './owner.js';
-import { type RunWatch, watchRun } from './runWatch.js';
+import { monitorRun, type RunMonitor } from './runMonitor.js';
 import { createServiceTimes, type ServiceTimes } from './serviceTimes.js';
 
 /** What is needed of the owner. */
 export interface BackEndObservationsContext {
   readonly clock: Clock;
-  readonly alarms: SuspendAwareTimers;
+  readonly timers: SuspendAwareTimers;
   /** The back end does not seem to answer a run. */
   readonly onOverdue: (run: OverdueRun) => void;
 }
@@ -60,25 +60,25 @@
 export function createBackEndObservations(
   context: BackEndObservationsContext,
 ): BackEndObservations {
-  const { clock, alarms } = context;
+  const { clock, timers } = context;
   const failures = createFailureShare();
-  const hangs = createHangWatch();
+  const hangDetector = createHangDetector();
   const load = createBackEndLoad();
   const slowness = (): number => load.slowness(clock.now());
   const times = createServiceTimes(slowness);
 
   /** Undefined until it is known how long the back end usually takes. */
-  const watch = (task: ObservedTask, slots: number): RunWatch | undefined => {
+  const watch = (task: ObservedTask, slots: number): RunMonitor | undefined => {
     if (times.meanMs === undefined) {
       return undefined;
     }
     const { requestId, route, repeatable, onProgress } = task;
     const sentAt = clock.now();
     const usualMs = times.expectedMs(route);
-    return watchRun({
+    return monitorRun({
       clock,
-      alarms,
-      hangs,
+      timers,
+      hangDetector,
       usualMs,
       slots,
       onOverdue: () => {
@@ -130,7 +130,7 @@
     begin,
     reset: () => {
       failures.reset();
-      hangs.reset();
+      hangDetector.reset();
       load.reset();
     },
   };
--- a/src/owner/backEndRun.ts
+++ b/src/owner/backEndRun.ts
@@ -12,7 +12,7 @@
   /** To which it was sent. */
   readonly backEnd: BackEnd;
   /** Present now: a back end tells its version some time after it is ready. */
-  readonly present: BackEnd | undefined;
+  readonly currentBackEnd: BackEnd | undefined;
   readonly outcome: OwnerOutcome;
   readonly tookMs: number;
   /** On the clock of `coldUntil`. */
@@ -21,8 +21,11 @@
 
 /** Undefined for a call that says nothing of the back end's version. */
 export function backEndRunOf(call: EndedCall): BackEndRun | undefined {
-  const { task, present, outcome, tookMs, now } = call;
-  const backEnd = present && isSameIncarnation(present, call.backEnd) ? present : call.backEnd;
+  const { task, currentBackEnd, outcome, tookMs, now } = call;
+  const backEnd =
+    currentBackEnd && isSameIncarnation(currentBackEnd, call.backEnd)
+      ? currentBackEnd
+      : call.backEnd;
   const result = runEndOf(outcome);
   return result === undefined
     ? undefined
--- a/src/owner/calledRoutes.test.ts
+++ b/src/owner/callRouteDetector.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { type CalledRoutes, createCalledRoutes } from './calledRoutes.js';
+import { type CallRouteDetector, createCallRouteDetector } from './callRouteDetector.js';
 
 /** Machines of a deployment by the service that runs on them: menu 35, orders 24, packing 10. */
 const MACHINES = [
@@ -11,68 +11,68 @@
 /** Requests of clients begin on all machines alike: a stride that meets each machine. */
 const STRIDE = 29;
 
-function sendFromAll(routes: CalledRoutes, route: string, count: number): void {
+function sendFromAll(routes: CallRouteDetector, route: string, count: number): void {
   for (let index = 0; index < count; index += 1) {
-    routes.note(route, MACHINES[(index * STRIDE) % MACHINES.length] as string);
+    routes.noteRequest(route, MACHINES[(index * STRIDE) % MACHINES.length] as string);
   }
 }
 
-function sendFrom(routes: CalledRoutes, route: string, service: string, count: number): void {
+function sendFrom(routes: CallRouteDetector, route: string, service: string, count: number): void {
   for (let index = 0; index < count; index += 1) {
-    routes.note(route, service);
+    routes.noteRequest(route, service);
   }
 }
 
 describe('createCalledRoutes', () => {
   it('tells a route that begins beside back ends of one service from those of clients', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     sendFromAll(routes, 'order-place', 200);
     sendFrom(routes, 'stock-check', 'menu', 64);
-    expect(routes.isCalled('stock-check')).toBe(true);
-    expect(routes.isCalled('order-place')).toBe(false);
+    expect(routes.isCallRoute('stock-check')).toBe(true);
+    expect(routes.isCallRoute('order-place')).toBe(false);
   });
 
   it('takes no route for called before enough of its requests have come', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     sendFromAll(routes, 'order-place', 200);
     sendFrom(routes, 'rare', 'menu', 8);
-    expect(routes.isCalled('rare')).toBe(false);
-    expect(routes.isCalled('never-seen')).toBe(false);
+    expect(routes.isCallRoute('rare')).toBe(false);
+    expect(routes.isCallRoute('never-seen')).toBe(false);
   });
 
   it('tells a called route where most of the traffic is calls', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     for (let round = 0; round < 10; round += 1) {
       sendFromAll(routes, 'order-place', 40);
       sendFrom(routes, 'stock-check', 'menu', 160);
     }
-    expect(routes.isCalled('stock-check')).toBe(true);
-    expect(routes.isCalled('order-place')).toBe(false);
+    expect(routes.isCallRoute('stock-check')).toBe(true);
+    expect(routes.isCallRoute('order-place')).toBe(false);
   });
 
   it('tells nothing where all machines run one service', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     sendFrom(routes, 'read', 'desk', 300);
     sendFrom(routes, 'book', 'desk', 300);
-    expect(routes.isCalled('read')).toBe(false);
+    expect(routes.isCallRoute('read')).toBe(false);
   });
 
   it('takes back what later requests show to be wrong', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     sendFromAll(routes, 'order-place', 400);
     sendFrom(routes, 'moved', 'menu', 64);
-    expect(routes.isCalled('moved')).toBe(true);
+    expect(routes.isCallRoute('moved')).toBe(true);
     sendFromAll(routes, 'moved', 400);
-    expect(routes.isCalled('moved')).toBe(false);
+    expect(routes.isCallRoute('moved')).toBe(false);
   });
 
   it('stays small when a configuration brings many routes', () => {
-    const routes = createCalledRoutes();
+    const routes = createCallRouteDetector();
     for (let index = 0; index < 2_000; index += 1) {
       sendFrom(routes, `route-${index}`, 'menu', 1);
     }
     sendFromAll(routes, 'order-place', 200);
     sendFrom(routes, 'stock-check', 'menu', 64);
-    expect(routes.isCalled('stock-check')).toBe(true);
+    expect(routes.isCallRoute('stock-check')).toBe(true);
   });
 });
--- a/src/owner/calledRoutes.ts
+++ b/src/owner/callRouteDetector.ts
@@ -24,11 +24,11 @@
 const ABSENT_SHARE = 0.1;
 
 /** Watches the tasks that come to one owner. */
-export interface CalledRoutes {
+export interface CallRouteDetector {
   /** A task of a route has come from a machine that runs a service. */
-  note(route: string, callerService: string): void;
+  noteRequest(route: string, callerService: string): void;
   /** True when the route's requests are made by running back ends. */
-  isCalled(route: string): boolean;
+  isCallRoute(route: string): boolean;
 }
 
 /** Requests by the service beside which they began; older ones count less and less. */
@@ -69,7 +69,7 @@
   }
 }
 
-export function createCalledRoutes(): CalledRoutes {
+export function createCallRouteDetector(): CallRouteDetector {
   const byRoute = new Map<string, Origins>();
   const called = new Set<string>();
 
@@ -106,7 +106,7 @@
   };
 
   return {
-    note: (route, callerService) => {
+    noteRequest: (route, callerService) => {
       const origins = originsOf(route);
       origins.note(callerService);
       if (!origins.takeDue()) {
@@ -118,7 +118,7 @@
         called.delete(route);
       }
     },
-    isCalled: (route) => called.has(route),
+    isCallRoute: (route) => called.has(route),
   };
 }
 
--- a/src/owner/callTurns.test.ts
+++ b/src/owner/callScheduler.test.ts
@@ -1,18 +1,18 @@
 import { describe, expect, it } from 'vitest';
 import {
-  type CallTurns,
-  createCallTurns,
+  type CallScheduler,
+  createCallScheduler,
   rankOf,
-  type TurnContext,
-  type TurnRequest,
-} from './callTurns.js';
+  type SchedulingContext,
+  type SchedulingRequest,
+} from './callScheduler.js';
 
-function queued(name: string, overrides: Partial<TurnRequest> = {}) {
+function queued(name: string, overrides: Partial<SchedulingRequest> = {}) {
   const request = { route: name, priority: 1, targetAt: 100, deadlineAt: 400, ...overrides };
   return { name, since: 0, request };
 }
 
-const context: TurnContext = {
+const context: SchedulingContext = {
   slots: 4,
   now: 0,
   latestStartAt: ({ targetAt }) => targetAt - 20,
@@ -63,13 +63,13 @@
 
   it('change nothing where no calls are known', () => {
     const [first, second] = [queued('first'), queued('second')];
-    expect(createCallTurns().next([first, second], context)).toBe(first);
-    expect(createCallTurns().next([], context)).toBeUndefined();
+    expect(createCallScheduler().next([first, second], context)).toBe(first);
+    expect(createCallScheduler().next([], context)).toBeUndefined();
   });
 });
 
-function afterCalls(count: number): CallTurns {
-  const turns = createCallTurns();
+function afterCalls(count: number): CallScheduler {
+  const turns = createCallScheduler();
   for (let index = 0; index < count; index += 1) {
     turns.noteStarted({ isCall: true });
   }
--- a/src/owner/callTurns.ts
+++ b/src/owner/callScheduler.ts
@@ -10,7 +10,7 @@
  * Part of the slots that calls may hold before waiting clients that are equally urgent: a quarter stays
  * for the service's own clients, so that a burst at its callers does not stop them.
  */
-export const CALLS_SHARE = 0.75;
+export const CALL_SLOT_SHARE = 0.75;
 
 /**
  * Where long work of a lower priority holds the other slots, calls may take every slot that comes free,
@@ -24,7 +24,7 @@
 const TURNS = 2;
 
 /** What a turn is told by. */
-export interface TurnRequest {
+export interface SchedulingRequest {
   /** See `priorityOf`: 0 is the most urgent; a multiple of 1 / PRIORITIES. */
   readonly priority: number;
   /** True if a running back end waits for the answer. */
@@ -36,30 +36,30 @@
 }
 
 /** A task that waits for its turn. */
-export interface QueuedTurn {
-  readonly request: TurnRequest & { readonly route: string };
+export interface WaitingTask {
+  readonly request: SchedulingRequest & { readonly route: string };
   /** Steady time in milliseconds. */
   readonly since: number;
 }
 
 /** What turns go by besides the queue. */
-export interface TurnContext {
+export interface SchedulingContext {
   /** Tasks that may run at once. */
   readonly slots: number;
   /** Steady time in milliseconds. */
   readonly now: number;
   /** Steady time in milliseconds by which a task must have begun to be in time. */
-  readonly latestStartAt: (request: QueuedTurn['request']) => number;
+  readonly latestStartAt: (request: WaitingTask['request']) => number;
 }
 
 /** Kept by the admission control of one back end. */
-export interface CallTurns {
-  noteStarted(request: Pick<TurnRequest, 'isCall'>): void;
-  noteEnded(request: Pick<TurnRequest, 'isCall'>): void;
+export interface CallScheduler {
+  noteStarted(request: Pick<SchedulingRequest, 'isCall'>): void;
+  noteEnded(request: Pick<SchedulingRequest, 'isCall'>): void;
   /** The next of a queue that is kept in order of rank. */
-  next<Queued extends QueuedTurn>(
+  next<Queued extends WaitingTask>(
     waiting: readonly Queued[],
-    context: TurnContext,
+    context: SchedulingContext,
   ): Queued | undefined;
 }
 
@@ -67,11 +67,14 @@
  * Place in the queue; smaller goes first. Priorities are 1 / PRIORITIES apart: scaled to whole steps,
  * they leave room for a call and a client in each.
  */
-export function rankOf({ priority, isCall }: Pick<TurnRequest, 'priority' | 'isCall'>): number {
+export function rankOf({
+  priority,
+  isCall,
+}: Pick<SchedulingRequest, 'priority' | 'isCall'>): number {
   return priority * PRIORITIES * TURNS + (isCall ? 0 : 1);
 }
 
-export function createCallTurns(): CallTurns {
+export function createCallScheduler(): CallScheduler {
   let running = 0;
   let inARow = 0;
   return {
@@ -91,13 +94,13 @@
       const canWaitMs = latestStartAt(client.request) - client.since;
       const hasWaitedLong = now - client.since > canWaitMs * YIELDING_SHARE;
       const isItsTurn = hasWaitedLong && inARow >= CALLS_IN_A_ROW;
-      return isItsTurn || running >= slots * CALLS_SHARE ? client : first;
+      return isItsTurn || running >= slots * CALL_SLOT_SHARE ? client : first;
     },
   };
 }
 
 /** The first client that is as urgent as a call, if none more urgent is ahead of it. */
-function firstClientLike<Queued extends QueuedTurn>(
+function firstClientLike<Queued extends WaitingTask>(
   call: Queued,
   waiting: readonly Queued[],
 ): Queued | undefined {
--- a/src/owner/crashWatch.test.ts
+++ b/src/owner/crashDetector.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
-import { createCrashWatch } from './crashWatch.js';
+import { createCrashDetector } from './crashDetector.js';
 import type { OwnerOutcome } from './owner.js';
 
 const LOST: OwnerOutcome = { kind: 'unknown', reason: 'connection-lost' };
@@ -15,9 +15,9 @@
 function watchOver() {
   const world = { now: 0, isListening: true, looks: 0 };
   const crashes: { instance: string; requests: string[] }[] = [];
-  const watch = createCrashWatch({
+  const watch = createCrashDetector({
     clock: { now: () => world.now },
-    listens: async () => {
+    isListening: async () => {
       world.looks += 1;
       return world.isListening;
     },
@@ -26,7 +26,7 @@
   });
   const run = (fingerprint: string, instance = 'i-1', bornAt?: number) => {
     const started = {
-      life: { instance, bornAt },
+      incarnation: { instance, bornAt },
       address: 'a:1',
       request: { fingerprint, caller: 'desk', hadPriorCrash: false },
     };
@@ -72,10 +72,10 @@
     const { world, crashes, watch, run } = watchOver();
     await watch.end(run('a'), LOST);
     world.now = 1_000;
-    watch.onLife(lifeOf('i-1'));
+    watch.noteIncarnation(lifeOf('i-1'));
     expect(crashes).toEqual([]);
-    watch.onLife(lifeOf('i-2'));
-    watch.onLife(lifeOf('i-2'));
+    watch.noteIncarnation(lifeOf('i-2'));
+    watch.noteIncarnation(lifeOf('i-2'));
     expect(crashes).toEqual([{ instance: 'i-1', requests: ['a'] }]);
   });
 
@@ -87,7 +87,7 @@
     // Sent to the new life, which is not known yet.
     const later = run('c', 'i-1', 100);
     world.now = 90;
-    watch.onLife(lifeOf('i-1', 200));
+    watch.noteIncarnation(lifeOf('i-1', 200));
     expect(crashes).toEqual([{ instance: 'i-1', requests: ['a', 'b'] }]);
     world.isListening = false;
     await watch.end(running, LOST);
@@ -101,10 +101,10 @@
     const { world, crashes, watch, run } = watchOver();
     await watch.end(run('a'), LEFT);
     world.now = 100;
-    watch.onLife(lifeOf('i-2'));
+    watch.noteIncarnation(lifeOf('i-2'));
     await watch.end(run('b', 'i-2'), LOST);
     world.now = 9_000;
-    watch.onLife(lifeOf('i-3'));
+    watch.noteIncarnation(lifeOf('i-3'));
     expect(crashes).toEqual([]);
   });
 });
--- a/src/owner/crashWatch.ts
+++ b/src/owner/crashDetector.ts
@@ -27,46 +27,46 @@
 const LOST_MS = 5_000;
 
 /** What is needed of the owner. */
-export interface CrashWatchContext {
+export interface CrashDetectorContext {
   readonly clock: Clock;
   /** A life has ended in a crash while these requests, and no others, were under way. */
   readonly onCrash: (life: BackEndIncarnation, underWay: readonly InFlightRequest[]) => void;
   /** True if something listens at an address; for tests. */
-  readonly listens?: (address: string) => Promise<boolean>;
+  readonly isListening?: (address: string) => Promise<boolean>;
 }
 
 /** A run that a back end may have begun. */
-export interface WatchedRun {
+export interface MonitoredRun {
   /** The life that is known when the run begins. */
-  readonly life: BackEndIncarnation;
+  readonly incarnation: BackEndIncarnation;
   readonly address: string;
   readonly request: InFlightRequest;
 }
 
 /** A run that has ended without an answer. */
-interface EndedRun extends WatchedRun {
+interface EndedRun extends MonitoredRun {
   /** Steady time in milliseconds since which nobody waits for it. */
   readonly endedAt: number;
   /** True if the connection was lost, false if the caller gave it up. */
   readonly isLost: boolean;
 }
 
-export interface CrashWatch {
+export interface CrashDetector {
   /** A request is about to be sent. */
-  begin(run: WatchedRun): void;
+  begin(run: MonitoredRun): void;
   /**
    * The run has ended in this way. Resolves, within the limit of one connection, with true if nothing
    * listens any more at the back end's address.
    */
-  end(run: WatchedRun, outcome: OwnerOutcome): Promise<boolean>;
+  end(run: MonitoredRun, outcome: OwnerOutcome): Promise<boolean>;
   /** This life is there: the one before has crashed if runs were lost with it lately. */
-  onLife(life: BackEndIncarnation): void;
+  noteIncarnation(life: BackEndIncarnation): void;
 }
 
-export function createCrashWatch(context: CrashWatchContext): CrashWatch {
-  const { clock, onCrash, listens = listensAt } = context;
+export function createCrashDetector(context: CrashDetectorContext): CrashDetector {
+  const { clock, onCrash, isListening = listensAt } = context;
   /** Steady times in milliseconds at which the runs that go on began. */
-  const underWay = new Map<WatchedRun, number>();
+  const underWay = new Map<MonitoredRun, number>();
   /** Without an answer, the oldest first. */
   let ended: EndedRun[] = [];
   let crashed: BackEndIncarnation | undefined;
@@ -78,12 +78,12 @@
       return;
     }
     crashed = life;
-    const gone = ended.filter((run) => isSameIncarnation(run.life, life));
+    const gone = ended.filter((run) => isSameIncarnation(run.incarnation, life));
     ended = ended.filter((run) => !gone.includes(run));
     const crashedAt = gone.at(-1)?.endedAt ?? clock.now();
     const atTheEnd = gone.filter(({ endedAt }) => crashedAt - endedAt < LEFT_BEHIND_MS);
     const running = [...underWay]
-      .filter(([run, begunAt]) => isSameIncarnation(run.life, life) && begunAt <= begunUntil)
+      .filter(([run, begunAt]) => isSameIncarnation(run.incarnation, life) && begunAt <= begunUntil)
       .map(([run]) => run);
     onCrash(
       life,
@@ -92,11 +92,11 @@
   };
 
   /** One look for all the runs that end at the same moment. */
-  const lookAt = ({ life, address }: WatchedRun): Promise<boolean> => {
-    look ??= listens(address).then((listening) => {
+  const lookAt = ({ incarnation, address }: MonitoredRun): Promise<boolean> => {
+    look ??= isListening(address).then((listening) => {
       look = undefined;
       if (!listening) {
-        noteCrash(life);
+        noteCrash(incarnation);
       }
       return !listening;
     });
@@ -118,12 +118,12 @@
       ended.push({ ...run, endedAt: now, isLost });
       return isLost && lookAt(run);
     },
-    onLife: (life) => {
+    noteIncarnation: (life) => {
       const now = clock.now();
       const lost = ended.findLast(({ isLost, endedAt }) => isLost && now - endedAt < LOST_MS);
       // A birth that was not told when the run began is that of the life before: this one is new.
       if (lost && !isOfLife(lost, life)) {
-        noteCrash(lost.life, lost.endedAt);
+        noteCrash(lost.incarnation, lost.endedAt);
       }
       if (crashed && isSameIncarnation(crashed, life)) {
         crashed = undefined;
@@ -132,8 +132,8 @@
   };
 }
 
-function isOfLife(run: WatchedRun, life: BackEndIncarnation): boolean {
-  return run.life.instance === life.instance && run.life.bornAt === life.bornAt;
+function isOfLife(run: MonitoredRun, life: BackEndIncarnation): boolean {
+  return run.incarnation.instance === life.instance && run.incarnation.bornAt === life.bornAt;
 }
 
 function listensAt(address: string): Promise<boolean> {
--- a/src/owner/hangWatch.test.ts
+++ b/src/owner/hangDetector.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest';
-import { createHangWatch, type HangWatch } from './hangWatch.js';
+import { createHangDetector, type HangDetector } from './hangDetector.js';
 
 const SLOTS = 8;
 const USUAL_MS = 200;
 
 /** Sends runs every 25 ms; those that hang are never answered, the others after `tookMs`. */
 function play(
-  watch: HangWatch,
+  watch: HangDetector,
   { runs, hangs, tookMs }: { runs: number; hangs: (run: number) => boolean; tookMs: number },
 ): { overdue: number; hung: number } {
-  const works: { work: ReturnType<HangWatch['begin']>; run: number; at: number }[] = [];
+  const works: { work: ReturnType<HangDetector['begin']>; run: number; at: number }[] = [];
   let overdue = 0;
   let hung = 0;
   for (let now = 0; now < runs * 25 + 3_000; now += 25) {
@@ -24,8 +24,8 @@
     }
     for (const { work, at, run: each } of works) {
       const isOpen = hangs(each) || now < at + tookMs;
-      if (isOpen && now - at === watch.firstLookMs(USUAL_MS)) {
-        const finding = watch.look(work, USUAL_MS, SLOTS, now);
+      if (isOpen && now - at === watch.firstCheckMs(USUAL_MS)) {
+        const finding = watch.check(work, USUAL_MS, SLOTS, now);
         overdue += finding.isNewlyOverdue ? 1 : 0;
         hung += finding.isHung ? 1 : 0;
       }
@@ -36,7 +36,7 @@
 
 describe('the watch for back ends that hang', () => {
   it('finds runs that are never answered, once some have shown it', () => {
-    const { overdue, hung } = play(createHangWatch(), {
+    const { overdue, hung } = play(createHangDetector(), {
       runs: 200,
       hangs: (run) => run % 2 === 1,
       tookMs: 200,
@@ -47,7 +47,7 @@
   });
 
   it('leaves a back end alone that is five times as slow', () => {
-    const { overdue, hung } = play(createHangWatch(), {
+    const { overdue, hung } = play(createHangDetector(), {
       runs: 200,
       hangs: () => false,
       tookMs: 1_000,
@@ -58,26 +58,26 @@
   });
 
   it('leaves long work alone at a back end that answers all', () => {
-    const watch = createHangWatch();
+    const watch = createHangDetector();
     const { hung } = play(watch, { runs: 400, hangs: (run) => run % 33 === 5, tookMs: 200 });
     expect(hung).toBe(0);
   });
 
   it('finds a back end that answers nobody, by its silence alone', () => {
-    const watch = createHangWatch();
+    const watch = createHangDetector();
     const works = Array.from({ length: SLOTS }, () => watch.begin(0));
-    const early = works.map((work) => watch.look(work, USUAL_MS, SLOTS, 650));
+    const early = works.map((work) => watch.check(work, USUAL_MS, SLOTS, 650));
     expect(early.every(({ isNewlyOverdue }) => !isNewlyOverdue)).toBe(true);
-    expect(early.every(({ lookAgainMs }) => lookAgainMs === 650)).toBe(true);
-    const late = works.map((work) => watch.look(work, USUAL_MS, SLOTS, 1_300));
-    expect(late.at(-1)).toEqual({ isNewlyOverdue: true, isHung: true, lookAgainMs: undefined });
+    expect(early.every(({ recheckMs }) => recheckMs === 650)).toBe(true);
+    const late = works.map((work) => watch.check(work, USUAL_MS, SLOTS, 1_300));
+    expect(late.at(-1)).toEqual({ isNewlyOverdue: true, isHung: true, recheckMs: undefined });
   });
 
   it('forgets with the back end', () => {
-    const watch = createHangWatch();
+    const watch = createHangDetector();
     play(watch, { runs: 100, hangs: () => true, tookMs: 200 });
     watch.reset();
     const work = watch.begin(10_000);
-    expect(watch.look(work, USUAL_MS, SLOTS, 10_100).isHung).toBe(false);
+    expect(watch.check(work, USUAL_MS, SLOTS, 10_100).isHung).toBe(false);
   });
 });
--- a/src/owner/hangWatch.ts
+++ b/src/owner/hangDetector.ts
@@ -28,7 +28,7 @@
 const REMEMBERED_ANSWERS = 16;
 
 /** A run that the back end works on. */
-export interface WatchedWork {
+export interface PendingRun {
   /** Steady time in milliseconds at which it was sent. */
   readonly sentAt: number;
   /** Its place among all runs, in the order in which they were sent. */
@@ -37,26 +37,26 @@
 }
 
 /** What is to be done about a run that was looked at. */
-export interface HangFinding {
+export interface HangCheckResult {
   /** True the first time that a run is found to be overdue. */
   readonly isNewlyOverdue: boolean;
   readonly isHung: boolean;
   /** Milliseconds until it is to be looked at again; undefined when nothing new can come of that. */
-  readonly lookAgainMs: number | undefined;
+  readonly recheckMs: number | undefined;
 }
 
-export interface HangWatch {
-  begin(now: number): WatchedWork;
+export interface HangDetector {
+  begin(now: number): PendingRun;
   /** Milliseconds after which a run is first looked at, by the usual time of its route. */
-  firstLookMs(usualMs: number): number;
-  look(work: WatchedWork, usualMs: number, slots: number, now: number): HangFinding;
+  firstCheckMs(usualMs: number): number;
+  check(work: PendingRun, usualMs: number, slots: number, now: number): HangCheckResult;
   /** The run has ended, with an answer of the back end or without. */
-  end(work: WatchedWork, isAnswered: boolean, now: number): void;
+  end(work: PendingRun, isAnswered: boolean, now: number): void;
   /** Another back end is there. */
   reset(): void;
 }
 
-export function createHangWatch(): HangWatch {
+export function createHangDetector(): HangDetector {
   let sent = 0;
   /** Places of the runs that were answered last. */
   let answered: number[] = [];
@@ -68,15 +68,15 @@
     share += (hung - share) * WEIGHT;
   };
 
-  const firstLookMs = (usualMs: number): number => usualMs * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
+  const firstCheckMs = (usualMs: number): number => usualMs * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
 
   return {
     begin: (now) => {
       sent += 1;
       return { sentAt: now, sequence: sent, isOverdue: false };
     },
-    firstLookMs,
-    look: (work, usualMs, slots, now) => {
+    firstCheckMs,
+    check: (work, usualMs, slots, now) => {
       const overtakers = answered.filter((sequence) => sequence > work.sequence);
       const isOvertaken = overtakers.length >= Math.min(slots, REMEMBERED_ANSWERS);
       const quietMs = now - Math.max(work.sentAt, answeredAt);
@@ -87,7 +87,7 @@
         note(1);
       }
       const isHung = work.isOverdue && share >= HANGING_SHARE;
-      return { isNewlyOverdue, isHung, lookAgainMs: isHung ? undefined : firstLookMs(usualMs) };
+      return { isNewlyOverdue, isHung, recheckMs: isHung ? undefined : firstCheckMs(usualMs) };
     },
     end: (work, isAnswered, now) => {
       if (isAnswered) {
--- a/src/owner/health-question.ts
+++ b/src/owner/healthCheck.ts
@@ -10,7 +10,7 @@
 const TIMEOUT_MS = 600;
 
 /** Resolves with undefined unless the back end says that it is ready; never rejects. */
-export function askHealth(
+export function checkHealth(
   address: string,
   path: string,
   names: HeaderNames,
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -5,29 +5,29 @@
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import { UNCONDITIONAL_PERMIT } from '../rollout/runLimiter.js';
 import { AdmissionControl, type AdmissionRequest } from './admission-control.js';
-import { BackEndConnections } from './back-end-agent.js';
 import { BackEndPresence } from './back-end-presence.js';
+import { BackEndConnections } from './backEndConnections.js';
 import {
   type BackEndObservations,
   createBackEndObservations,
   type ObservedRun,
 } from './backEndObservations.js';
 import { backEndRunOf, type EndedCall } from './backEndRun.js';
-import { createCalledRoutes } from './calledRoutes.js';
+import { createCallRouteDetector } from './callRouteDetector.js';
 import type { LocalOwnerOptions } from './localOwnerOptions.js';
 import type { MessageBody } from './message-body.js';
+import { createMonitoredCalls, type MonitoredCalls } from './monitoredCalls.js';
 import {
   crashKeyOf,
+  createRejection,
   type NotRunReason,
   type Owner,
   type OwnerOutcome,
   type OwnerTask,
-  turnedAway,
 } from './owner.js';
 import type { OwnerReport } from './owner-report.js';
 import { waitForSlot } from './slotWait.js';
 import { type TaskTimes, taskRecordOf } from './taskRecord.js';
-import { createWatchedCalls, type WatchedCalls } from './watchedCalls.js';
 
 /** After a late or foreign answer, connections are not kept for this long, in milliseconds. */
 const DISTRUST_MS = 10_000;
@@ -43,29 +43,29 @@
   private readonly admission: AdmissionControl;
   private readonly presence: BackEndPresence;
   private readonly connections = new BackEndConnections();
-  private readonly called = createCalledRoutes();
+  private readonly callRoutes = createCallRouteDetector();
   private readonly observations: BackEndObservations;
-  private readonly calls: WatchedCalls;
+  private readonly calls: MonitoredCalls;
   private stopping = false;
-  private distrustUntil = 0;
+  private noReuseUntil = 0;
 
   constructor(private readonly options: LocalOwnerOptions) {
     this.observations = createBackEndObservations(options);
     this.admission = new AdmissionControl(this.observations.times, options.tenantShare);
-    this.calls = createWatchedCalls(options);
+    this.calls = createMonitoredCalls(options);
     this.presence = new BackEndPresence(options, {
-      onNewLife: (life) => this.onNewLife(life),
+      onNewIncarnation: (life) => this.onNewIncarnation(life),
       onReady: ({ slots }) => this.admission.setSlots(slots, options.clock.now()),
-      onClosed: () => this.admission.turnAllAway(),
+      onUnavailable: () => this.admission.rejectAllWaiting(),
       onChange: (backEnd, cause) => options.onBackEnd(backEnd, cause),
     });
   }
 
   /** What is known of the service's times stays: they are those of its requests, on this machine. */
-  private onNewLife(life: BackEndIncarnation): void {
+  private onNewIncarnation(life: BackEndIncarnation): void {
     this.observations.reset();
-    this.connections.renew();
-    this.calls.onLife(life);
+    this.connections.reset();
+    this.calls.noteIncarnation(life);
   }
 
   /** Begins to look for the back end. */
@@ -75,13 +75,13 @@
 
   /** The path of the health question may be known now. */
   noteConfiguration(): void {
-    this.presence.askIfNeeded();
+    this.presence.checkHealthIfNeeded();
   }
 
   /** Turns new tasks away from now on; tasks that run go on. */
   stopAdmitting(): void {
     this.stopping = true;
-    this.admission.turnAllAway();
+    this.admission.rejectAllWaiting();
   }
 
   /** Closes what is left open. */
@@ -91,14 +91,14 @@
   }
 
   /** True when the back end has said that it leaves. */
-  get isLeaving(): boolean {
-    return this.presence.isLeaving;
+  get isDraining(): boolean {
+    return this.presence.isDraining;
   }
 
   get report(): OwnerReport {
     return {
       service: this.presence.backEnd?.service,
-      ready: this.obstacle() === undefined,
+      ready: this.rejectionReason() === undefined,
       inFlight: this.admission.inFlight,
       queued: this.admission.queued,
       slots: this.admission.capacity,
@@ -125,21 +125,21 @@
     const times: TaskTimes = { arrivedAt: this.options.clock.now() };
     const outcome = await this.admitAndRun(task, times);
     const instance = this.presence.backEnd?.instance;
-    const isCall = this.called.isCalled(task.route);
+    const isCall = this.callRoutes.isCallRoute(task.route);
     const now = this.options.clock.now();
     this.options.onTask(taskRecordOf({ task, outcome, times, instance, isCall, now }));
     return outcome;
   }
 
   private async admitAndRun(task: OwnerTask, times: TaskTimes): Promise<OwnerOutcome> {
-    const obstacle = this.obstacleFor(task);
+    const obstacle = this.rejectionReasonFor(task);
     if (obstacle) {
-      return turnedAway(obstacle);
+      return createRejection(obstacle);
     }
-    const { enter = () => UNCONDITIONAL_PERMIT } = this.options;
-    const passage = enter();
+    const { acquirePermit = () => UNCONDITIONAL_PERMIT } = this.options;
+    const passage = acquirePermit();
     if (!passage) {
-      return turnedAway('busy', FENCED_RETRY_MS);
+      return createRejection('busy', FENCED_RETRY_MS);
     }
     const outcome = await this.admit(task, times);
     passage.finish(outcome.kind !== 'not-run' || outcome.arrived);
@@ -148,7 +148,7 @@
 
   private async admit(task: OwnerTask, times: TaskTimes): Promise<OwnerOutcome> {
     const { clock } = this.options;
-    this.called.note(task.route, task.callerService);
+    this.callRoutes.noteRequest(task.route, task.callerService);
     const { route, tenant, priority, targetAt, deadlineAt, mayWait } = task;
     const request: AdmissionRequest = {
       route,
@@ -157,24 +157,24 @@
       targetAt,
       deadlineAt,
       mayWait,
-      runsAlone: this.standingOf(task) === QuarantineStatus.Suspect,
-      isCall: this.called.isCalled(route),
+      isExclusive: this.standingOf(task) === QuarantineStatus.Suspect,
+      isCall: this.callRoutes.isCallRoute(route),
     };
     const decision = this.admission.decide(request, clock.now());
     if (decision.kind === 'busy') {
-      return turnedAway('busy', decision.retryAfterMs);
+      return createRejection('busy', decision.retryAfterMs);
     }
     if (decision.kind === 'wait') {
       const refused = await waitForSlot(task, request, {
         ...this.options,
         admission: this.admission,
-        obstacle: () => this.obstacle(),
+        rejectionReason: () => this.rejectionReason(),
       });
       if (refused) {
         return refused;
       }
     } else {
-      this.admission.started(request, clock.now());
+      this.admission.noteStarted(request, clock.now());
     }
     return this.runAdmitted(task, request, times);
   }
@@ -191,14 +191,14 @@
   ): Promise<OwnerOutcome> {
     const { clock } = this.options;
     times.admittedAt = clock.now();
-    let outcome: OwnerOutcome = turnedAway('cancelled');
+    let outcome: OwnerOutcome = createRejection('cancelled');
     let run: ObservedRun | undefined;
     try {
       task.onProgress('admitted');
       const body = await task.loadBody();
-      const obstacle = this.obstacleAfterAdmission(task, request);
+      const obstacle = this.rejectionReasonAfterAdmission(task, request);
       if (obstacle) {
-        outcome = turnedAway(obstacle);
+        outcome = createRejection(obstacle);
         return outcome;
       }
       times.sentAt = clock.now();
@@ -210,7 +210,7 @@
       return outcome;
     } finally {
       const observed = run?.end(outcome);
-      this.admission.finished(request, observed?.serviceMs, clock.now(), observed?.slowness);
+      this.admission.noteFinished(request, observed?.serviceMs, clock.now(), observed?.slowness);
     }
   }
 
@@ -218,12 +218,16 @@
     const { clock, names } = this.options;
     const backEnd = this.presence.backEnd as BackEnd;
     const sentAt = clock.now();
-    const { outcome, unreachable, keptWasSilent, load } = await this.calls.call(task, body, {
-      backEnd,
-      names,
-      agent: this.agentFor(task),
-      remainingMs: task.deadlineAt - clock.now(),
-    });
+    const { outcome, unreachable, wasReusedConnectionSilent, load } = await this.calls.call(
+      task,
+      body,
+      {
+        backEnd,
+        names,
+        agent: this.agentFor(task),
+        remainingMs: task.deadlineAt - clock.now(),
+      },
+    );
     // Other programs on its machine are not the fault of its version.
     const tookMs = (clock.now() - sentAt) / Math.max(1, this.observations.slowness);
     this.noteRun({ task, backEnd, outcome, tookMs });
@@ -233,18 +237,18 @@
     if (unreachable) {
       this.presence.noteUnreachable(backEnd);
     }
-    if (keptWasSilent && clock.now() >= task.deadlineAt - DEADLINE_SLACK_MS) {
+    if (wasReusedConnectionSilent && clock.now() >= task.deadlineAt - DEADLINE_SLACK_MS) {
       this.connections.closeIdle();
     }
     if (outcome.kind === 'unknown' && outcome.reason === 'foreign-answer') {
-      this.distrustUntil = clock.now() + DISTRUST_MS;
+      this.noReuseUntil = clock.now() + DISTRUST_MS;
     }
     return outcome;
   }
 
-  private noteRun(call: Omit<EndedCall, 'present' | 'now'>): void {
+  private noteRun(call: Omit<EndedCall, 'currentBackEnd' | 'now'>): void {
     const now = this.options.beliefClock.now();
-    const run = backEndRunOf({ ...call, present: this.presence.backEnd, now });
+    const run = backEndRunOf({ ...call, currentBackEnd: this.presence.backEnd, now });
     if (run) {
       this.options.onRun?.(run);
     }
@@ -252,26 +256,26 @@
 
   /** What may not be repeated gets a connection of its own while late answers are about. */
   private agentFor(task: OwnerTask): http.Agent {
-    const mayReuse = task.repeatable || this.options.clock.now() >= this.distrustUntil;
+    const mayReuse = task.repeatable || this.options.clock.now() >= this.noReuseUntil;
     return this.connections.agentFor(mayReuse);
   }
 
-  private obstacleFor(task: OwnerTask): NotRunReason | undefined {
-    return this.obstacle() ?? this.mismatch(task);
+  private rejectionReasonFor(task: OwnerTask): NotRunReason | undefined {
+    return this.rejectionReason() ?? this.mismatch(task);
   }
 
   /** A task that was admitted may still begin for a while after a drain was acknowledged. */
-  private obstacleAfterAdmission(
+  private rejectionReasonAfterAdmission(
     task: OwnerTask,
-    { runsAlone }: AdmissionRequest,
+    { isExclusive }: AdmissionRequest,
   ): NotRunReason | undefined {
     if (task.cancellation.cancelled) {
       return 'cancelled';
     }
-    if (this.standingOf(task) === QuarantineStatus.Suspect && !runsAlone) {
+    if (this.standingOf(task) === QuarantineStatus.Suspect && !isExclusive) {
       return 'suspect';
     }
-    return this.presence.sendObstacle() ?? this.mismatch(task);
+    return this.presence.sendRejectionReason() ?? this.mismatch(task);
   }
 
   private mismatch(task: OwnerTask): NotRunReason | undefined {
@@ -284,7 +288,7 @@
     return this.options.clock.now() >= task.deadlineAt ? 'expired' : undefined;
   }
 
-  private obstacle(): NotRunReason | undefined {
-    return this.stopping ? 'stopping' : this.presence.obstacle();
+  private rejectionReason(): NotRunReason | undefined {
+    return this.stopping ? 'stopping' : this.presence.rejectionReason();
   }
 }
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -40,18 +40,18 @@
   readonly mayWait: boolean;
   readonly cancellation: Cancellation;
   /** The body, if it is held whole and can so be sent more than once. */
-  readonly heldBody: BytesBody | undefined;
+  readonly bufferedBody: BytesBody | undefined;
   /** Gives the body. Called once at the most, after the task has been admitted. */
   loadBody(): Promise<MessageBody>;
   /** Called when an owner has queued or admitted the task, or is not heard of any longer. */
-  onProgress(stage: OwnerStage): void;
+  onProgress(stage: TaskStage): void;
 }
 
 /**
  * How far a task has come at an owner. `silent`: the owner has the task and does not say that it is
  * there, or its back end does not seem to answer; an answer may still come.
  */
-export type OwnerStage = 'queued' | 'admitted' | 'silent';
+export type TaskStage = 'queued' | 'admitted' | 'silent';
 
 /** Why a task was certainly not run. */
 export type NotRunReason =
@@ -131,7 +131,7 @@
 }
 
 /** Builds the outcome for a task that was turned away before it reached a back end. */
-export function turnedAway(reason: NotRunReason, retryAfterMs?: number): OwnerNotRun {
+export function createRejection(reason: NotRunReason, retryAfterMs?: number): OwnerNotRun {
   return {
     kind: 'not-run',
     reason,
--- a/src/owner/urgencyMix.ts
+++ b/src/owner/priorityLoad.ts
@@ -7,14 +7,14 @@
 const MAX_SHARE = 0.8;
 
 /** Watches the tasks of one back end. */
-export interface UrgencyMix {
+export interface PriorityLoad {
   /** A task has taken this many milliseconds. */
   note(rank: number, serviceMs: number): void;
   /** Share of the time that tasks of a smaller rank take, from 0 to MAX_SHARE. */
-  moreUrgentThan(rank: number): number;
+  shareBelowRank(rank: number): number;
 }
 
-export function createUrgencyMix(): UrgencyMix {
+export function createPriorityLoad(): PriorityLoad {
   const spent = new Map<number, number>();
   return {
     note: (rank, serviceMs) => {
@@ -23,7 +23,7 @@
       }
       spent.set(rank, (spent.get(rank) ?? 0) + serviceMs * WEIGHT);
     },
-    moreUrgentThan: (rank) => {
+    shareBelowRank: (rank) => {
       let all = 0;
       let urgent = 0;
       for (const [known, ms] of spent) {
--- a/src/owner/queueWait.test.ts
+++ b/src/owner/queueWait.test.ts
@@ -9,7 +9,7 @@
 const context: QueueWaitContext = {
   slots: 4,
   times: { expectedMs: (route) => WORK_MS.get(route) ?? 0, overallMs: 200 },
-  mix: { moreUrgentThan: () => 0 },
+  priorityLoad: { shareBelowRank: () => 0 },
 };
 
 function request(overrides: Partial<QueuedRequest> = {}): QueuedRequest {
@@ -24,8 +24,8 @@
   });
 
   it('grows with the share that more urgent work takes meanwhile', () => {
-    const mix = { moreUrgentThan: () => 0.5 };
-    expect(queueWaitMs(request(), [], { ...context, mix })).toBe(100);
+    const priorityLoad = { shareBelowRank: () => 0.5 };
+    expect(queueWaitMs(request(), [], { ...context, priorityLoad })).toBe(100);
   });
 
   it('is bounded for clients by their part of the slots beside calls', () => {
--- a/src/owner/queueWait.ts
+++ b/src/owner/queueWait.ts
@@ -3,12 +3,12 @@
  * the back end's time that those leave who are more urgent and go on arriving.
  */
 
-import { CALLS_SHARE, rankOf, type TurnRequest } from './callTurns.js';
+import { CALL_SLOT_SHARE, rankOf, type SchedulingRequest } from './callScheduler.js';
+import type { PriorityLoad } from './priorityLoad.js';
 import type { ServiceTimes } from './serviceTimes.js';
-import type { UrgencyMix } from './urgencyMix.js';
 
 /** A task as far as its wait goes. */
-export interface QueuedRequest extends TurnRequest {
+export interface QueuedRequest extends SchedulingRequest {
   readonly route: string;
 }
 
@@ -16,7 +16,7 @@
   /** Tasks that may run at once. */
   readonly slots: number;
   readonly times: Pick<ServiceTimes, 'expectedMs' | 'overallMs'>;
-  readonly mix: Pick<UrgencyMix, 'moreUrgentThan'>;
+  readonly priorityLoad: Pick<PriorityLoad, 'shareBelowRank'>;
 }
 
 /** Milliseconds until a task begins that comes behind others. */
@@ -31,7 +31,7 @@
   }
   // Clients have their part of the slots beside calls that are as urgent, however many these are.
   const clients = ahead.filter(({ isCall, priority }) => !isCall || priority < request.priority);
-  const left = shareLeftTo({ ...request, isCall: true }, context) * (1 - CALLS_SHARE);
+  const left = shareLeftTo({ ...request, isCall: true }, context) * (1 - CALL_SLOT_SHARE);
   return Math.min(waitMs, drainMs(clients, context) / left);
 }
 
@@ -45,6 +45,9 @@
 }
 
 /** Share of the back end's time that is left beside what is more urgent, above 0. */
-function shareLeftTo(request: TurnRequest, { mix }: Pick<QueueWaitContext, 'mix'>): number {
-  return 1 - mix.moreUrgentThan(rankOf(request));
+function shareLeftTo(
+  request: SchedulingRequest,
+  { priorityLoad }: Pick<QueueWaitContext, 'priorityLoad'>,
+): number {
+  return 1 - priorityLoad.shareBelowRank(rankOf(request));
 }
--- a/src/owner/runWatch.ts
+++ b/src/owner/runMonitor.ts
@@ -1,13 +1,13 @@
 /** Looks at a run from time to time until it ends, and tells when the back end seems not to answer it. */
 import type { Clock } from '../model/clock.js';
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
-import type { HangWatch } from './hangWatch.js';
+import type { HangDetector } from './hangDetector.js';
 
 /** What a watch of one run is given. */
-export interface RunWatchContext {
+export interface RunMonitorContext {
   readonly clock: Clock;
-  readonly alarms: SuspendAwareTimers;
-  readonly hangs: HangWatch;
+  readonly timers: SuspendAwareTimers;
+  readonly hangDetector: HangDetector;
   /** Milliseconds that a run of this route usually takes. */
   readonly usualMs: number;
   readonly slots: number;
@@ -17,33 +17,33 @@
   readonly onHung: () => void;
 }
 
-export interface RunWatch {
+export interface RunMonitor {
   /** The run has ended; returns whether it was overdue. */
   end(isAnswered: boolean): boolean;
 }
 
-export function watchRun(context: RunWatchContext): RunWatch {
-  const { clock, alarms, hangs, usualMs, slots, onOverdue, onHung } = context;
-  const work = hangs.begin(clock.now());
+export function monitorRun(context: RunMonitorContext): RunMonitor {
+  const { clock, timers, hangDetector, usualMs, slots, onOverdue, onHung } = context;
+  const work = hangDetector.begin(clock.now());
 
   const look = (): void => {
-    const finding = hangs.look(work, usualMs, slots, clock.now());
+    const finding = hangDetector.check(work, usualMs, slots, clock.now());
     if (finding.isNewlyOverdue) {
       onOverdue();
     }
     if (finding.isHung) {
       onHung();
     }
-    if (finding.lookAgainMs !== undefined) {
-      cancelLook = alarms.set(look, finding.lookAgainMs);
+    if (finding.recheckMs !== undefined) {
+      cancelLook = timers.set(look, finding.recheckMs);
     }
   };
-  let cancelLook = alarms.set(look, hangs.firstLookMs(usualMs));
+  let cancelLook = timers.set(look, hangDetector.firstCheckMs(usualMs));
 
   return {
     end: (isAnswered) => {
       cancelLook();
-      hangs.end(work, isAnswered, clock.now());
+      hangDetector.end(work, isAnswered, clock.now());
       return work.isOverdue;
     },
   };
--- a/src/owner/slotWait.ts
+++ b/src/owner/slotWait.ts
@@ -2,22 +2,22 @@
 import type { Clock } from '../model/clock.js';
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import type { AdmissionControl, AdmissionRequest, Waiter } from './admission-control.js';
-import { type NotRunReason, type OwnerOutcome, type OwnerTask, turnedAway } from './owner.js';
+import { createRejection, type NotRunReason, type OwnerOutcome, type OwnerTask } from './owner.js';
 
 /** What the wait needs of its owner. */
 export interface SlotWaitContext {
   readonly clock: Clock;
-  readonly alarms: SuspendAwareTimers;
+  readonly timers: SuspendAwareTimers;
   readonly admission: AdmissionControl;
   /** Why no task may be taken now, if so. */
-  readonly obstacle: () => NotRunReason | undefined;
+  readonly rejectionReason: () => NotRunReason | undefined;
 }
 
 /** Resolves with undefined when the task holds a slot. */
 export function waitForSlot(
   task: OwnerTask,
   request: AdmissionRequest,
-  { clock, alarms, admission, obstacle }: SlotWaitContext,
+  { clock, timers, admission, rejectionReason }: SlotWaitContext,
 ): Promise<OwnerOutcome | undefined> {
   return new Promise((resolve) => {
     const now = clock.now();
@@ -25,24 +25,24 @@
       request,
       since: now,
       admit: () => {
-        admission.started(request, clock.now());
+        admission.noteStarted(request, clock.now());
         release();
         resolve(undefined);
       },
-      turnAway: (retryAfterMs) => {
+      reject: (retryAfterMs) => {
         release();
-        resolve(turnedAway(obstacle() ?? 'busy', retryAfterMs));
+        resolve(createRejection(rejectionReason() ?? 'busy', retryAfterMs));
       },
     };
     const forget = task.cancellation.onCancel(() => {
       cancelTimer();
       admission.remove(waiter);
-      resolve(turnedAway('cancelled'));
+      resolve(createRejection('cancelled'));
     });
     // No slot may become free for long: what can no longer be in time is told so at once.
-    const cancelTimer = alarms.set(() => {
+    const cancelTimer = timers.set(() => {
       admission.remove(waiter);
-      waiter.turnAway(admission.retryAfterMs());
+      waiter.reject(admission.retryAfterMs());
     }, admission.latestStartAt(request) - now);
     const release = () => {
       cancelTimer();
--- a/src/owner/tenantTurns.test.ts
+++ b/src/owner/tenantFairness.test.ts
@@ -1,45 +1,45 @@
 import { describe, expect, it } from 'vitest';
 import { tenantSchema } from '../tenants/tenant.js';
 import { tenantShares } from '../tenants/tenantShares.js';
-import { createTenantTurns } from './tenantTurns.js';
+import { createTenantFairness } from './tenantFairness.js';
 
 describe('turns of tenants', () => {
   it('leave a tenant behind that has had more than its share, and nobody else', () => {
-    const turns = createTenantTurns((tenant) => (tenant === 'large' ? 0.5 : 0.1));
+    const turns = createTenantFairness((tenant) => (tenant === 'large' ? 0.5 : 0.1));
     for (let index = 0; index < 20; index += 1) {
       turns.note('large', 0);
       turns.note('small', 0);
     }
-    expect(turns.isBehind('large', 0)).toBe(false);
-    expect(turns.isBehind('small', 0)).toBe(true);
-    expect(turns.isBehind('quiet', 0)).toBe(false);
-    expect(turns.isBehind(undefined, 0)).toBe(false);
+    expect(turns.isOverShare('large', 0)).toBe(false);
+    expect(turns.isOverShare('small', 0)).toBe(true);
+    expect(turns.isOverShare('quiet', 0)).toBe(false);
+    expect(turns.isOverShare(undefined, 0)).toBe(false);
   });
 
   it('let a small tenant have a few requests that come together', () => {
-    const turns = createTenantTurns(() => 0.001);
+    const turns = createTenantFairness(() => 0.001);
     const isBehind = [1, 2, 3, 4].map(() => {
       turns.note('small', 0);
-      return turns.isBehind('small', 0);
+      return turns.isOverShare('small', 0);
     });
     expect(isBehind).toEqual([false, false, false, true]);
   });
 
   it('forget what a tenant had', () => {
-    const turns = createTenantTurns(() => 0.1);
+    const turns = createTenantFairness(() => 0.1);
     for (let index = 0; index < 20; index += 1) {
       turns.note('hot', 0);
     }
-    expect(turns.isBehind('hot', 5_000)).toBe(true);
-    expect(turns.isBehind('hot', 20_000)).toBe(false);
+    expect(turns.isOverShare('hot', 5_000)).toBe(true);
+    expect(turns.isOverShare('hot', 20_000)).toBe(false);
   });
 
   it('count nothing where no task names a tenant', () => {
-    const turns = createTenantTurns(() => 0);
+    const turns = createTenantFairness(() => 0);
     for (let index = 0; index < 20; index += 1) {
       turns.note(undefined, 0);
     }
-    expect(turns.isBehind(undefined, 0)).toBe(false);
+    expect(turns.isOverShare(undefined, 0)).toBe(false);
   });
 });
 
--- a/src/owner/tenantTurns.ts
+++ b/src/owner/tenantFairness.ts
@@ -13,11 +13,11 @@
 /** Requests by which it may have more than its share: those of a small tenant may well come together. */
 const FREE_REQUESTS = 3;
 
-export interface TenantTurns {
+export interface TenantFairness {
   /** A task of a tenant has been given a slot. */
   note(tenant: string | undefined, now: number): void;
   /** True if a task of a tenant waits behind those of others that are equally urgent. */
-  isBehind(tenant: string | undefined, now: number): boolean;
+  isOverShare(tenant: string | undefined, now: number): boolean;
 }
 
 /** A count that fades. */
@@ -26,7 +26,7 @@
   readonly at: number;
 }
 
-export function createTenantTurns(shareOf: TenantShare): TenantTurns {
+export function createTenantFairness(shareOf: TenantShare): TenantFairness {
   const had = new Map<string, Amount>();
   let all: Amount | undefined;
   return {
@@ -36,7 +36,7 @@
         all = { amount: faded(all, now) + 1, at: now };
       }
     },
-    isBehind: (tenant, now) => {
+    isOverShare: (tenant, now) => {
       if (tenant === undefined) {
         return false;
       }
--- a/src/peer/peerServer.test.ts
+++ b/src/peer/peerServer.test.ts
@@ -47,7 +47,7 @@
     deadlineAt: now + 5_000,
     targetAt: now + 5_000,
     hasBody: true,
-    heldBody: body,
+    bufferedBody: body,
     loadBody: () => Promise.resolve(body),
   });
 }
--- a/src/peer/peerServer.ts
+++ b/src/peer/peerServer.ts
@@ -184,7 +184,7 @@
   private task(): OwnerTask {
     const { task, method, target, headers, body } = this.offer;
     const now = this.context.clock.now();
-    const heldBody = body && ({ kind: 'bytes', bytes: body } as const);
+    const bufferedBody = body && ({ kind: 'bytes', bytes: body } as const);
     return {
       ...task,
       method,
@@ -193,10 +193,10 @@
       deadlineAt: now + task.remainingMs,
       targetAt: now + task.targetMs,
       cancellation: this.cancellation,
-      heldBody,
-      loadBody: () => (heldBody ? Promise.resolve(heldBody) : this.askForBody()),
+      bufferedBody,
+      loadBody: () => (bufferedBody ? Promise.resolve(bufferedBody) : this.askForBody()),
       onProgress: (stage) => {
-        if (stage === 'queued' && !heldBody) {
+        if (stage === 'queued' && !bufferedBody) {
           this.connection.send({ kind: MessageKind.Queued });
         }
         if (stage === 'silent') {
--- a/src/peer/remoteRun.ts
+++ b/src/peer/remoteRun.ts
@@ -1,7 +1,7 @@
 /** One task at an owner on another node, from its offer to its outcome. */
 import type { MessageBody } from '../owner/message-body.js';
 import type { OwnerOutcome, OwnerTask, OwnerUnknown } from '../owner/owner.js';
-import { turnedAway } from '../owner/owner.js';
+import { createRejection } from '../owner/owner.js';
 import { type BodyReceiver, createBodyReceiver } from './bodyReceiver.js';
 import { createOwnerPatience, type OwnerPatience } from './ownerPatience.js';
 import { inlineBytes, type PeerConnection } from './peerConnection.js';
@@ -89,9 +89,9 @@
   }
 
   private bodyToSendAtOnce(now: number): Buffer | undefined {
-    const { repeatable, heldBody } = this.task;
+    const { repeatable, bufferedBody } = this.task;
     const isFresh = now - this.peer.heardAt < FRESH_MS;
-    return repeatable && heldBody && isFresh ? inlineBytes(heldBody) : undefined;
+    return repeatable && bufferedBody && isFresh ? inlineBytes(bufferedBody) : undefined;
   }
 
   private onMessage(message: PeerMessage): void {
@@ -176,7 +176,7 @@
       return;
     }
     this.context.onFailure('unreachable');
-    this.settle(this.mayHaveRun ? LOST : turnedAway('peer-unreachable'));
+    this.settle(this.mayHaveRun ? LOST : createRejection('peer-unreachable'));
   }
 
   /** Nothing reaches an owner before the connection stands. */
@@ -186,7 +186,7 @@
 
   private onCancel(): void {
     this.settle(
-      this.mayHaveRun ? { kind: 'unknown', reason: 'cancelled' } : turnedAway('cancelled'),
+      this.mayHaveRun ? { kind: 'unknown', reason: 'cancelled' } : createRejection('cancelled'),
     );
     this.connection.destroy();
   }
@@ -212,7 +212,7 @@
       this.task.onProgress('silent');
       return;
     }
-    this.settle(turnedAway('peer-silent'));
+    this.settle(createRejection('peer-silent'));
     this.connection.destroy();
   }
 
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -155,7 +155,7 @@
     log.event('stopping', { inFlight: ingress.inFlight, version: configuration.version });
     await finishWork({ clock, ingress, owner, graceMs, lifecycle });
     await Promise.race([
-      sync.stop(owner.isLeaving),
+      sync.stop(owner.isDraining),
       new Promise((resolve) => setTimeout(resolve, REMOVE_TIMEOUT_MS)),
     ]);
     log.event('stopped', { inFlight: ingress.inFlight });
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -91,15 +91,15 @@
   const owner = new LocalOwner({
     clock,
     beliefClock,
-    alarms,
+    timers: alarms,
     ledger,
     onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
-    onNews: (news) => quarantines.tell(news),
+    onCrashAnnouncement: (news) => quarantines.tell(news),
     names,
     service: () => settings().service,
     backEndAddress: () => settings().backEndAddress,
     healthPath: (service) => configuration.routes?.service(service)?.healthPath,
-    isNamed: (service) => {
+    isServiceConfigured: (service) => {
       const { routes } = configuration;
       return !routes || service === settings().service || routes.service(service) !== undefined;
     },
@@ -107,7 +107,7 @@
     onBackEnd: (backEnd, cause) => onBackEnd(backEnd, cause),
     onRun: (run) => rollouts?.sync.noteRun(run),
     tenantShare: (tenant) => configuration.routes?.tenantShare(tenant) ?? 1,
-    enter: () => (rollouts ? rollouts.sync.enter() : UNCONDITIONAL_PERMIT),
+    acquirePermit: () => (rollouts ? rollouts.sync.enter() : UNCONDITIONAL_PERMIT),
     onTask: (task) => recordTask({ log, metrics }, task, owner.report),
     onOverdue: (run) => recordOverdue({ log, metrics }, run),
   });
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -43,7 +43,7 @@
     hasBody: false,
     mayWait: true,
     cancellation: new Cancellation(),
-    heldBody: EMPTY_BODY,
+    bufferedBody: EMPTY_BODY,
     loadBody: () => Promise.resolve(EMPTY_BODY),
     onProgress: () => {},
     ...overrides,
