--- a/lab/quotaWays.ts
+++ b/lab/quotaWays.ts
@@ -1,6 +1,11 @@
 /** The ways to keep quotas together that `quotaTrial.ts` plays: the product's own, and two to compare it with. */
 import { createQuotaGate, type QuotaGate } from '../src/tenants/quotaGate.js';
-import { partOf, type QuotaBounds, type QuotaMember, quotaOf } from '../src/tenants/quotaParts.js';
+import {
+  partLimitsOf,
+  type QuotaBounds,
+  type QuotaMember,
+  quotaLimitsOf,
+} from '../src/tenants/quotaParts.js';
 import { createQuotaPool, type QuotaPool } from '../src/tenants/quotaPool.js';
 import type { MeshTenant } from '../src/tenants/tenant.js';
 import { createTokenBucket, type TokenBucket } from '../src/tenants/tokenBucket.js';
@@ -51,7 +56,9 @@
 
 function playParts(world: World, limits: readonly MeshTenant[]): Play {
   const partsOf = (tenants: readonly MeshTenant[]) =>
-    tenants.map((tenant) => partOf(quotaOf(tenant, TRIAL_BOUNDS), world.members.length));
+    tenants.map((tenant) =>
+      partLimitsOf(quotaLimitsOf(tenant, TRIAL_BOUNDS), world.members.length),
+    );
   let force = world.members.map(() => limits);
   const create = (tenants: readonly MeshTenant[], now: number): TokenBucket[] =>
     partsOf(tenants).map((part) => createTokenBucket(part, 0, now));
@@ -94,7 +101,9 @@
   const told = zeros();
   const toldBefore = zeros();
   const create = (now: number) =>
-    limits.map((tenant) => createTokenBucket(partOf(quotaOf(tenant, TRIAL_BOUNDS), count), 0, now));
+    limits.map((tenant) =>
+      createTokenBucket(partLimitsOf(quotaLimitsOf(tenant, TRIAL_BOUNDS), count), 0, now),
+    );
   const buckets = world.members.map(() => create(0));
   let calls = 0;
   const rowOf = (rows: number[][], node: number): number[] => rows[node] as number[];
@@ -119,7 +128,7 @@
       const last = rowOf(told, node)[tenant] as number;
       const own = Math.min(last, rowOf(toldBefore, node)[tenant] as number);
       const fraction = (own + floor) / (sum - last + own);
-      const quota = quotaOf(force[node]?.[tenant] as MeshTenant, TRIAL_BOUNDS);
+      const quota = quotaLimitsOf(force[node]?.[tenant] as MeshTenant, TRIAL_BOUNDS);
       buckets[node]?.[tenant]?.setLimits(
         { tokensPerMs: quota.tokensPerMs * fraction, depth: quota.depth * fraction },
         now,
@@ -183,7 +192,7 @@
       zone,
       windowMs: TRIAL_BOUNDS.windowMs,
       pool,
-      ask: (holder, tenant, wanted) => {
+      requestGrant: (holder, tenant, wanted) => {
         calls += 1;
         const other = indexOf.get(holder.node) as number;
         const isReached = reaches(world, node, other);
--- a/src/cli/explainedAccess.ts
+++ b/src/cli/explainedAccess.ts
@@ -32,8 +32,8 @@
     keyring: createKeyring(tenants),
     isPublic: route.isPublic,
     keys: asked?.apiKeys.slice(0, 1) ?? [],
-    mayBeBehind: false,
-    isOutdated: false,
+    mayBeStale: false,
+    isTooStale: false,
   });
   if (access.kind !== AccessKind.Granted) {
     const cause = asked ? `tenant ${asked.name} has no key` : 'it carries no key';
--- a/src/cli/fleetStatus.ts
+++ b/src/cli/fleetStatus.ts
@@ -6,7 +6,7 @@
 import { PeerCaller } from '../peer/peerCaller.js';
 import type { PeerReport } from '../peer/peerMessages.js';
 import { type ObjectStore, ReadConsistency, type StoreFailure } from '../source/object-store.js';
-import { readTenantUse, type TenantUse } from '../tenants/tenantUse.js';
+import { parseTenantUsage, type TenantUsage } from '../tenants/tenantUsage.js';
 
 /** Nodes that are asked at the same time. */
 const CONCURRENCY = 32;
@@ -127,10 +127,10 @@
 /** Asks for what tenants have used of late at each node; undefined for one that is out of reach. */
 export function readTenantUses(
   records: readonly OwnerRecord[],
-): Promise<(readonly TenantUse[] | undefined)[]> {
+): Promise<(readonly TenantUsage[] | undefined)[]> {
   return askAll(records, async (caller, { address }) => {
     const bytes = await caller.tenantUse(address, ANSWER_TIMEOUT_MS);
-    return bytes && readTenantUse(bytes);
+    return bytes && parseTenantUsage(bytes);
   });
 }
 
--- a/src/cli/tenantCommands.ts
+++ b/src/cli/tenantCommands.ts
@@ -1,7 +1,7 @@
 /** Commands about tenants. Of keys they show digests' first digits only. */
-import { keyPrint } from '../tenants/keyring.js';
+import { keyDigest } from '../tenants/keyring.js';
 import type { MeshTenant } from '../tenants/tenant.js';
-import { USE_WINDOW_MS } from '../tenants/tenantUse.js';
+import { USAGE_WINDOW_MS } from '../tenants/tenantUsage.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
 import { refuse, unavailable } from './failures.js';
@@ -49,9 +49,9 @@
       uses
         .flatMap((each) => each?.filter((use) => use.name === name) ?? [])
         .reduce((sum, use) => sum + use[kind], 0);
-    const perS = (count: number): number => (count * MILLISECONDS_PER_SECOND) / USE_WINDOW_MS;
+    const perS = (count: number): number => (count * MILLISECONDS_PER_SECOND) / USAGE_WINDOW_MS;
     return show(context, found, version, {
-      windowMs: USE_WINDOW_MS,
+      windowMs: USAGE_WINDOW_MS,
       admittedPerS: perS(sumOf('admitted')),
       refusedPerS: perS(sumOf('refused')),
       nodes: uses.filter((each) => each !== undefined).length,
@@ -78,7 +78,7 @@
   use?: FleetUse,
 ): ExitCode {
   const shown = tenants.map(
-    ({ apiKeys, ...rest }): ShownTenant => ({ ...rest, keys: apiKeys.map(keyPrint) }),
+    ({ apiKeys, ...rest }): ShownTenant => ({ ...rest, keys: apiKeys.map(keyDigest) }),
   );
   output.result({ version, tenants: shown, use }, () =>
     shown.length === 0
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -9,7 +9,7 @@
 import type { MeshRoute } from '../routing/mesh-configuration.js';
 import type { MatchedRoute, RouteMatcher } from '../routing/route-matcher.js';
 import { AccessKind } from '../tenants/access.js';
-import type { QuotaDecision, QuotaGate, QuotaSight } from '../tenants/quotaGate.js';
+import type { QuotaDecision, QuotaGate, QuotaRefusalDetails } from '../tenants/quotaGate.js';
 import type { MeshTenant } from '../tenants/tenant.js';
 import { type ClientRefusal, sendAnswer, sendRefusal } from './client-answer.js';
 import type { ClientAccess, ClientAccessContext } from './clientAccess.js';
@@ -56,7 +56,7 @@
   private tenant: MeshTenant | undefined;
   /** True if a configuration that decided about it has tenants. */
   private hasTenants = false;
-  private quota: QuotaSight | undefined;
+  private quota: QuotaRefusalDetails | undefined;
   /** Gives back what was taken of the tenant's quota. */
   private giveBack = (): void => {};
   private fingerprint = '';
@@ -153,14 +153,14 @@
 
   private isWithinQuota(decision: QuotaDecision, mayClose: () => boolean): boolean {
     if (decision.isAdmitted) {
-      this.giveBack = decision.giveBack;
+      this.giveBack = decision.refund;
       if (this.isFinished) {
         // The client has left while holders were asked.
         this.giveBack();
       }
       return !this.isFinished;
     }
-    this.quota = decision.sight;
+    this.quota = decision.details;
     const { retryAfterMs } = decision;
     this.refuse({ code: 'over-quota', status: 429, retryAfterMs }, mayClose());
     return false;
--- a/src/ingress/requestRecord.ts
+++ b/src/ingress/requestRecord.ts
@@ -1,5 +1,5 @@
 /** What is told of a request once it has its final answer. */
-import type { QuotaSight } from '../tenants/quotaGate.js';
+import type { QuotaRefusalDetails } from '../tenants/quotaGate.js';
 import type { OfferRecord } from './dispatch.js';
 
 /** One finished request, for logs and metrics. */
@@ -12,7 +12,7 @@
   /** Name of the tenant whose key it carried, if one was needed. */
   readonly tenant: string | undefined;
   /** What a refusal over the tenant's limit rests on. */
-  readonly quota?: QuotaSight | undefined;
+  readonly quota?: QuotaRefusalDetails | undefined;
   readonly version: number;
   /** Status that the client got; 0 when the client left first. */
   readonly status: number;
--- a/src/owner/callScheduler.ts
+++ b/src/owner/callScheduler.ts
@@ -4,7 +4,7 @@
  * urgent. They wait no longer than their target, as clients do: a late call makes its parent late.
  */
 
-import { PRIORITIES } from '../tenants/priority.js';
+import { PRIORITY_COUNT } from '../tenants/priority.js';
 
 /**
  * Part of the slots that calls may hold before waiting clients that are equally urgent: a quarter stays
@@ -71,7 +71,7 @@
   priority,
   isCall,
 }: Pick<SchedulingRequest, 'priority' | 'isCall'>): number {
-  return priority * PRIORITIES * TURNS + (isCall ? 0 : 1);
+  return priority * PRIORITY_COUNT * TURNS + (isCall ? 0 : 1);
 }
 
 export function createCallScheduler(): CallScheduler {
--- a/src/owner/tenantFairness.test.ts
+++ b/src/owner/tenantFairness.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { tenantSchema } from '../tenants/tenant.js';
-import { tenantShares } from '../tenants/tenantShares.js';
+import { createTenantShares } from '../tenants/tenantShares.js';
 import { createTenantFairness } from './tenantFairness.js';
 
 describe('turns of tenants', () => {
@@ -50,9 +50,9 @@
       { name: 'small', ratePerS: 100 },
       { name: 'free' },
     ].map((each) => tenantSchema.parse(each));
-    const shareOf = tenantShares(tenants);
+    const shareOf = createTenantShares(tenants);
     expect(['large', 'small', 'free', 'unknown'].map(shareOf)).toEqual([0.4, 0.2, 0.4, 0.4]);
-    expect(tenantShares([tenantSchema.parse({ name: 'free' })])('free')).toBe(1);
-    expect(tenantShares([])('unknown')).toBe(1);
+    expect(createTenantShares([tenantSchema.parse({ name: 'free' })])('free')).toBe(1);
+    expect(createTenantShares([])('unknown')).toBe(1);
   });
 });
--- a/src/routing/route-matcher.ts
+++ b/src/routing/route-matcher.ts
@@ -1,7 +1,7 @@
 /** Finds the route of a request: the longest prefix of its path among the routes of its host. */
 import type { CompiledPolicy } from '../policy/placement-policy.js';
 import { createKeyring, type Keyring } from '../tenants/keyring.js';
-import { tenantShares } from '../tenants/tenantShares.js';
+import { createTenantShares } from '../tenants/tenantShares.js';
 import { type Complements, NO_COMPLEMENTS } from './completeConfiguration.js';
 import type { MeshConfiguration, MeshRoute, MeshService } from './mesh-configuration.js';
 import { TrafficSplit } from './traffic-split.js';
@@ -43,7 +43,7 @@
       this.hosts.set(host, prefixes);
     }
     this.keyring = createKeyring(configuration.tenants);
-    this.tenantShare = tenantShares(configuration.tenants);
+    this.tenantShare = createTenantShares(configuration.tenants);
     for (const service of configuration.services) {
       this.services.set(service.name, service);
     }
--- a/src/sidecar/decisionRecords.ts
+++ b/src/sidecar/decisionRecords.ts
@@ -7,7 +7,7 @@
 import type { OwnerReport, TaskRecord } from '../owner/owner-report.js';
 import type { CrashAnnouncement } from '../quarantine/crashTracker.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
-import type { TenantUseCount } from '../tenants/tenantUse.js';
+import type { TenantUsageCounter } from '../tenants/tenantUsage.js';
 
 /** Statuses from here on are failures, of the back end or of this node. */
 const FIRST_ERROR_STATUS = 400;
@@ -20,7 +20,7 @@
 
 /** A client has its final answer, or has left; one that was answered at its first offer has no line. */
 export function recordRequest(
-  { log, metrics, tenantUse }: RecordSinks & { readonly tenantUse: TenantUseCount },
+  { log, metrics, tenantUse }: RecordSinks & { readonly tenantUse: TenantUsageCounter },
   record: RequestRecord,
 ): void {
   metrics.requestFinished(record);
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -72,7 +72,7 @@
     }
   };
 
-  const ask = (
+  const requestGrant = (
     holder: QuotaMember,
     tenant: string,
     wanted: number,
@@ -84,7 +84,7 @@
   };
 
   return {
-    gate: createQuotaGate({ clock, node, zone, windowMs: bounds.windowMs, pool, ask }),
+    gate: createQuotaGate({ clock, node, zone, windowMs: bounds.windowMs, pool, requestGrant }),
     get isUsed() {
       return (routes()?.configuration.tenants.length ?? 0) > 0;
     },
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -26,7 +26,7 @@
 import type { ZoneRelay } from '../relay/zoneRelay.js';
 import { UNCONDITIONAL_PERMIT } from '../rollout/runLimiter.js';
 import type { ConfigurationFollower } from '../source/configuration-follower.js';
-import { createTenantUseCount } from '../tenants/tenantUse.js';
+import { createTenantUsageCounter } from '../tenants/tenantUsage.js';
 import { recordCrash, recordOverdue, recordRequest, recordTask } from './decisionRecords.js';
 import { createOwnerEntries, ownRecordOf } from './ownerEntries.js';
 import { createQuotaPart, type QuotaPart } from './quotaPart.js';
@@ -194,7 +194,7 @@
     isListed: () => sync.isListed,
   });
 
-  const tenantUse = createTenantUseCount(clock);
+  const tenantUse = createTenantUsageCounter(clock);
 
   const ingress = new IngressServer({
     clock,
@@ -226,7 +226,7 @@
     traits: { onSent, window: bulkWindowOf(settings().linkMbps) },
     configuration: () => configuration.bytes(),
     directory: () => sync.bytes(),
-    tenantUse: tenantUse.bytes,
+    tenantUse: tenantUse.serialize,
     read: (question) => relay.answer(question),
     grant: quotas.grant,
     onNews: broadcast.take,
--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -16,24 +16,24 @@
   | { readonly kind: AccessKind.Denied | AccessKind.Uncertain };
 
 /** What the decision rests on. */
-export interface AccessQuestion {
+export interface AccessContext {
   readonly keyring: Keyring;
   /** True if the route of the request needs no key. */
   readonly isPublic: boolean;
   /** Every value that the request carries in the field for keys. */
   readonly keys: readonly string[];
   /** True when there may be a newer configuration than the one of the keyring. */
-  readonly mayBeBehind: boolean;
+  readonly mayBeStale: boolean;
   /** True when a key may have been taken away so long ago that it must not be believed any longer. */
-  readonly isOutdated: boolean;
+  readonly isTooStale: boolean;
 }
 
 const OPEN: Access = { kind: AccessKind.Granted, tenant: undefined };
 const DENIED: Access = { kind: AccessKind.Denied };
 const UNCERTAIN: Access = { kind: AccessKind.Uncertain };
 
-export function decideAccess(question: AccessQuestion): Access {
-  const { keyring, isPublic, keys, mayBeBehind, isOutdated } = question;
+export function decideAccess(question: AccessContext): Access {
+  const { keyring, isPublic, keys, mayBeStale, isTooStale } = question;
   if (!keyring.hasTenants || isPublic) {
     return OPEN;
   }
@@ -43,7 +43,7 @@
   const tenant = keys[0] === undefined ? undefined : keyring.tenantOf(keys[0]);
   if (!tenant) {
     // The key may be new, or the route public, in a version that has not come here yet.
-    return mayBeBehind ? UNCERTAIN : DENIED;
+    return mayBeStale ? UNCERTAIN : DENIED;
   }
-  return isOutdated ? UNCERTAIN : { kind: AccessKind.Granted, tenant };
+  return isTooStale ? UNCERTAIN : { kind: AccessKind.Granted, tenant };
 }
--- a/src/tenants/keyring.test.ts
+++ b/src/tenants/keyring.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import { AccessKind, decideAccess } from './access.js';
-import { createKeyring, keyPrint } from './keyring.js';
+import { createKeyring, keyDigest } from './keyring.js';
 import { type MeshTenant, tenantFindings, tenantSchema } from './tenant.js';
 
 const tenant = (fields: object): MeshTenant => tenantSchema.parse(fields);
@@ -17,8 +17,8 @@
   });
 
   it('shows too little of a key to find it by', () => {
-    expect(keyPrint('acme-old')).toMatch(/^[0-9a-f]{8}$/);
-    expect(keyPrint('acme-old')).not.toBe(keyPrint('acme-new'));
+    expect(keyDigest('acme-old')).toMatch(/^[0-9a-f]{8}$/);
+    expect(keyDigest('acme-old')).not.toBe(keyDigest('acme-new'));
   });
 });
 
@@ -27,8 +27,8 @@
     keyring: createKeyring([ACME, BETA]),
     isPublic: false,
     keys: [] as string[],
-    mayBeBehind: false,
-    isOutdated: false,
+    mayBeStale: false,
+    isTooStale: false,
   };
 
   it.each([
@@ -38,14 +38,10 @@
     ['two keys', { keys: ['beta-key', 'beta-key'] }, AccessKind.Denied, undefined],
     ['two keys in one field', { keys: ['beta-key, acme-old'] }, AccessKind.Denied, undefined],
     ['a public route', { isPublic: true, keys: ['beta-key'] }, AccessKind.Granted, undefined],
-    [
-      'an unknown key that may be new',
-      { keys: ['other'], mayBeBehind: true },
-      AccessKind.Uncertain,
-    ],
-    ['no key where the route may be public by now', { mayBeBehind: true }, AccessKind.Uncertain],
-    ['two keys, whatever is newest', { keys: ['a', 'b'], mayBeBehind: true }, AccessKind.Denied],
-    ['a key that must be proven', { keys: ['beta-key'], isOutdated: true }, AccessKind.Uncertain],
+    ['an unknown key that may be new', { keys: ['other'], mayBeStale: true }, AccessKind.Uncertain],
+    ['no key where the route may be public by now', { mayBeStale: true }, AccessKind.Uncertain],
+    ['two keys, whatever is newest', { keys: ['a', 'b'], mayBeStale: true }, AccessKind.Denied],
+    ['a key that must be proven', { keys: ['beta-key'], isTooStale: true }, AccessKind.Uncertain],
     ['no tenants', { keyring: createKeyring([]), keys: ['a', 'b'] }, AccessKind.Granted],
   ])('%s', (_case, fields, kind, name = undefined) => {
     const access = decideAccess({ ...question, ...fields });
--- a/src/tenants/keyring.ts
+++ b/src/tenants/keyring.ts
@@ -29,7 +29,7 @@
 }
 
 /** What may be shown of a key. */
-export function keyPrint(key: string): string {
+export function keyDigest(key: string): string {
   return digestOf(key).slice(0, SHOWN_DIGITS);
 }
 
--- a/src/tenants/quotaGate.test.ts
+++ b/src/tenants/quotaGate.test.ts
@@ -5,7 +5,7 @@
   holdersOf,
   type QuotaBounds,
   type QuotaMember,
-  quotaOf,
+  quotaLimitsOf,
   windowBound,
 } from './quotaParts.js';
 import { createQuotaPool, type QuotaGrant, type QuotaPool } from './quotaPool.js';
@@ -30,7 +30,7 @@
     ['no burst, no overage, no slack', tenantOf(10, 0), { ...BOUNDS, overage: 0, slack: 0 }],
     ['less than a request a window', tenantOf(0.1, 0), { ...BOUNDS, overage: 0, slack: 0 }],
   ])('as one bucket keeps the bound in every window: %s', (_case, tenant, bounds) => {
-    const { tokensPerMs, depth } = quotaOf(tenant, bounds);
+    const { tokensPerMs, depth } = quotaLimitsOf(tenant, bounds);
     const most = depth + tokensPerMs * bounds.windowMs;
     expect(Math.floor(most)).toBeLessThanOrEqual(Math.max(1, windowBound(tenant, bounds)));
     expect(depth).toBeGreaterThanOrEqual(1);
@@ -38,11 +38,13 @@
 
   it('is held by all nodes if it is large, by a few of each zone if it is small', () => {
     const members = membersOf([30, 20, 10, 9]);
-    expect(holdersOf('acme', quotaOf(tenantOf(1_000), BOUNDS), members)).toEqual(members);
-    const few = holdersOf('acme', quotaOf(tenantOf(2), BOUNDS), members);
+    expect(holdersOf('acme', quotaLimitsOf(tenantOf(1_000), BOUNDS), members)).toEqual(members);
+    const few = holdersOf('acme', quotaLimitsOf(tenantOf(2), BOUNDS), members);
     expect(few.length).toBeLessThan(8);
     expect(new Set(few.map(({ zone }) => zone)).size).toBe(4);
-    expect(holdersOf('acme', quotaOf(tenantOf(2), BOUNDS), [...members].reverse())).toEqual(few);
+    expect(holdersOf('acme', quotaLimitsOf(tenantOf(2), BOUNDS), [...members].reverse())).toEqual(
+      few,
+    );
   });
 });
 
@@ -77,7 +79,7 @@
       zone: 'z0',
       windowMs: BOUNDS.windowMs,
       pool: pools.get('z0n0') as QuotaPool,
-      ask: (holder, _tenant, wanted) => {
+      requestGrant: (holder, _tenant, wanted) => {
         asks.push(holder.node);
         return Promise.resolve(answer(holder.node, wanted)).then((grant) => {
           now += slowness;
@@ -96,7 +98,7 @@
     expect(admittedOf(await admitMany(10))).toBe(0);
     now = 10_000;
     asks = [];
-    const whole = quotaOf(tenant, BOUNDS).depth;
+    const whole = quotaLimitsOf(tenant, BOUNDS).depth;
     const admitted = admittedOf(await admitMany(200));
     expect(admitted).toBeLessThanOrEqual(whole);
     expect(admitted).toBeGreaterThan(whole - members.length);
@@ -107,7 +109,7 @@
 
   it('lets nobody in by a limit whose parts it does not know yet', () => {
     const stranger = tenantSchema.parse({ name: 'stranger', ratePerS: 1 });
-    expect(gate.admit(stranger)).toMatchObject({ isAdmitted: false, sight: { holders: 0 } });
+    expect(gate.admit(stranger)).toMatchObject({ isAdmitted: false, details: { holders: 0 } });
   });
 
   it('asks nobody for what it holds itself, and never for a tenant without a limit', async () => {
@@ -131,7 +133,7 @@
     expect(Math.min(...times)).toBeGreaterThan(0);
     expect(Math.max(...times)).toBeLessThanOrEqual(BOUNDS.windowMs);
     expect(refused[0]).toMatchObject({
-      sight: { ratePerS: 40, holders: 4, isHolder: true, dry: 3 },
+      details: { ratePerS: 40, holders: 4, isHolder: true, dry: 3 },
     });
   });
 
@@ -139,7 +141,7 @@
     now = 10_000;
     answer = (holder, wanted) =>
       holder === 'z0n1' ? undefined : pools.get(holder)?.grant('acme', wanted, now);
-    const whole = quotaOf(tenant, BOUNDS).depth;
+    const whole = quotaLimitsOf(tenant, BOUNDS).depth;
     expect(admittedOf(await admitMany(200))).toBeGreaterThan((whole * 3) / 4 - members.length);
     expect(asks.filter((node) => node === 'z0n1').length).toBe(1);
   });
@@ -153,7 +155,7 @@
     now = 10_000;
     const whole = admittedOf(await admitMany(20, small));
     expect(whole).toBeGreaterThan(0);
-    expect(pools.get('z0n0')?.view('acme')?.own).toBe(undefined);
+    expect(pools.get('z0n0')?.view('acme')?.localBucket).toBe(undefined);
     // Below its rate from now on; holders were last asked in vain.
     let admitted = 0;
     for (let sent = 0; sent < 10; sent += 1) {
@@ -168,14 +170,14 @@
     slowness = 201;
     answer = (_holder, wanted) => ({ granted: wanted, dryMs: 0 });
     const own = admittedOf(await admitMany(200));
-    expect(own).toBeLessThanOrEqual(quotaOf(tenant, BOUNDS).depth / 4);
+    expect(own).toBeLessThanOrEqual(quotaLimitsOf(tenant, BOUNDS).depth / 4);
   });
 
   it('takes back at once what has not run, once, and nothing later', async () => {
     now = 10_000;
     answer = () => ({ granted: 0, dryMs: 1_000 });
     const decisions = await admitMany(50);
-    const giveBack = decisions.map((each) => (each.isAdmitted ? each.giveBack : () => {}));
+    const giveBack = decisions.map((each) => (each.isAdmitted ? each.refund : () => {}));
     giveBack[0]?.();
     giveBack[0]?.();
     expect(admittedOf(await admitMany(5))).toBe(1);
@@ -189,11 +191,13 @@
   it('takes a new limit with what it holds, and a first one with a whole burst', async () => {
     now = 10_000;
     refresh(2, [tenantOf(4)]);
-    const lowered = quotaOf(tenantOf(4), BOUNDS).depth;
+    const lowered = quotaLimitsOf(tenantOf(4), BOUNDS).depth;
     expect(admittedOf(await admitMany(200))).toBeLessThanOrEqual(lowered);
     refresh(3, []);
     expect(admittedOf(await admitMany(200, tenantOf(0)))).toBe(200);
     refresh(4, [tenant]);
-    expect(admittedOf(await admitMany(200))).toBeGreaterThan(quotaOf(tenant, BOUNDS).depth - 4);
+    expect(admittedOf(await admitMany(200))).toBeGreaterThan(
+      quotaLimitsOf(tenant, BOUNDS).depth - 4,
+    );
   });
 });
--- a/src/tenants/quotaGate.ts
+++ b/src/tenants/quotaGate.ts
@@ -9,7 +9,7 @@
 import type { MeshTenant } from './tenant.js';
 
 /** What a refusal rests on, for the log. */
-export interface QuotaSight {
+export interface QuotaRefusalDetails {
   readonly ratePerS: number;
   readonly burst: number;
   /** Nodes that hold a part. */
@@ -24,8 +24,12 @@
 }
 
 export type QuotaDecision =
-  | { readonly isAdmitted: true; readonly giveBack: () => void }
-  | { readonly isAdmitted: false; readonly retryAfterMs: number; readonly sight: QuotaSight };
+  | { readonly isAdmitted: true; readonly refund: () => void }
+  | {
+      readonly isAdmitted: false;
+      readonly retryAfterMs: number;
+      readonly details: QuotaRefusalDetails;
+    };
 
 /** What is needed of the node. */
 export interface QuotaGateContext {
@@ -35,7 +39,7 @@
   readonly windowMs: number;
   readonly pool: QuotaPool;
   /** Asks a holder for grants; undefined when it does not answer within `GRANT_LIFETIME_MS`. */
-  readonly ask: (
+  readonly requestGrant: (
     holder: QuotaMember,
     tenant: string,
     wanted: number,
@@ -71,27 +75,27 @@
   ratePerS: number;
   burst: number;
   /** Steady times at which holders that were dry have a whole request again. */
-  dryUntil: Map<string, number>;
+  refilledAt: Map<string, number>;
   /** Steady times until which they are not asked, and those that were silent. */
-  restedAt: Map<string, number>;
+  askAgainAt: Map<string, number>;
   silentUntil: Map<string, number>;
   isRunning: boolean;
-  restsUntil: number;
+  backoffUntil: number;
   askedAt: number | undefined;
   /** Steady time for which the last refusal asked its caller back. */
-  lastReturnAt: number;
+  lastRetryAt: number;
 }
 
 /** The parts of a limit are not known yet: nobody is let in by it, and told to come back soon. */
 function unknown({ ratePerS, burst }: MeshTenant): QuotaDecision {
   const none = { holders: 0, isHolder: false, askedAgoMs: undefined, dry: 0, silent: 0 };
-  return { isAdmitted: false, retryAfterMs: REST_MS, sight: { ratePerS, burst, ...none } };
+  return { isAdmitted: false, retryAfterMs: REST_MS, details: { ratePerS, burst, ...none } };
 }
 
-const OPEN: QuotaDecision = { isAdmitted: true, giveBack: () => {} };
+const OPEN: QuotaDecision = { isAdmitted: true, refund: () => {} };
 
 export function createQuotaGate(context: QuotaGateContext): QuotaGate {
-  const { clock, node, zone, windowMs, pool, ask } = context;
+  const { clock, node, zone, windowMs, pool, requestGrant } = context;
   const borrowings = new Map<string, Borrowing>();
 
   /** Under another limit, what holders said before does not count. */
@@ -108,40 +112,40 @@
   const admitted = (tenant: string): QuotaDecision => {
     const grantedAt = clock.now();
     let isGiven = false;
-    const giveBack = (): void => {
+    const refund = (): void => {
       const now = clock.now();
       if (!isGiven && now - grantedAt <= GRANT_LIFETIME_MS) {
-        pool.view(tenant)?.own?.giveBack(now);
+        pool.view(tenant)?.localBucket?.refund(now);
       }
       isGiven = true;
     };
-    return { isAdmitted: true, giveBack };
+    return { isAdmitted: true, refund };
   };
 
   /** Callers come back one after the other, as fast as this node's share of the limit lets them in. */
   const refused = (view: QuotaView, borrowing: Borrowing): QuotaDecision => {
     const now = clock.now();
-    const { tenant, holders, own } = view;
-    const ownAt = own ? now + own.dryMs(now) : Number.POSITIVE_INFINITY;
-    const othersAt = Math.min(...borrowing.dryUntil.values());
+    const { tenant, holders, localBucket } = view;
+    const ownAt = localBucket ? now + localBucket.refillMs(now) : Number.POSITIVE_INFINITY;
+    const othersAt = Math.min(...borrowing.refilledAt.values());
     // Others are not asked before the rest ends, whatever they have.
-    const borrowAt = Math.max(borrowing.restsUntil, Number.isFinite(othersAt) ? othersAt : now);
+    const borrowAt = Math.max(borrowing.backoffUntil, Number.isFinite(othersAt) ? othersAt : now);
     const first = Math.max(now, Math.min(ownAt, borrowAt));
     const spacingMs = (1_000 * holders.length) / tenant.ratePerS;
-    const returnAt = Math.min(Math.max(first, borrowing.lastReturnAt + spacingMs), now + windowMs);
-    borrowing.lastReturnAt = returnAt;
+    const returnAt = Math.min(Math.max(first, borrowing.lastRetryAt + spacingMs), now + windowMs);
+    borrowing.lastRetryAt = returnAt;
     const isAfter = (until: number): boolean => until > now;
     return {
       isAdmitted: false,
       retryAfterMs: returnAt - now,
-      sight: {
+      details: {
         ratePerS: tenant.ratePerS,
         burst: tenant.burst,
         holders: holders.length,
-        isHolder: own !== undefined,
+        isHolder: localBucket !== undefined,
         askedAgoMs:
           borrowing.askedAt === undefined ? undefined : Math.round(now - borrowing.askedAt),
-        dry: [...borrowing.restedAt.values()].filter(isAfter).length,
+        dry: [...borrowing.askAgainAt.values()].filter(isAfter).length,
         silent: [...borrowing.silentUntil.values()].filter(isAfter).length,
       },
     };
@@ -158,10 +162,10 @@
     const others = view.holders.filter(
       (holder) => holder.node !== node && isPast(borrowing.silentUntil, holder),
     );
-    const rested = others.filter((holder) => isPast(borrowing.restedAt, holder));
+    const rested = others.filter((holder) => isPast(borrowing.askAgainAt, holder));
     const near = rested.filter((holder) => holder.zone === zone);
     // Where all rest, those that have something again: a tenant of few holders has no others.
-    const refilled = others.filter((holder) => isPast(borrowing.dryUntil, holder));
+    const refilled = others.filter((holder) => isPast(borrowing.refilledAt, holder));
     const candidates = [near, rested, refilled].find((each) => each.length > 0) ?? [];
     const [first] = rankNames(
       `${node}/${view.tenant.name}`,
@@ -178,15 +182,15 @@
     const wanted = borrowing.waiting.length;
     const askedAt = clock.now();
     borrowing.askedAt = askedAt;
-    const grant = await ask(holder, tenant, wanted);
+    const grant = await requestGrant(holder, tenant, wanted);
     const now = clock.now();
     if (!grant || now - askedAt > GRANT_LIFETIME_MS) {
       borrowing.silentUntil.set(holder.node, now + SILENT_MS);
       return 0;
     }
     if (grant.granted < wanted) {
-      borrowing.dryUntil.set(holder.node, now + grant.dryMs);
-      borrowing.restedAt.set(holder.node, now + Math.max(grant.dryMs, DRY_MS));
+      borrowing.refilledAt.set(holder.node, now + grant.dryMs);
+      borrowing.askAgainAt.set(holder.node, now + Math.max(grant.dryMs, DRY_MS));
     }
     // Others have come meanwhile, for whom nothing was asked.
     const granted = Math.min(grant.granted, wanted);
@@ -218,7 +222,7 @@
       if (!view) {
         openAll(borrowing);
       } else if (!holder || asked >= MOST_ASKED) {
-        borrowing.restsUntil = clock.now() + REST_MS;
+        borrowing.backoffUntil = clock.now() + REST_MS;
         refuseAll(view, borrowing);
       } else {
         const granted = await askOne(holder, tenant, borrowing);
@@ -235,11 +239,11 @@
         return isLimited(tenant) ? unknown(tenant) : OPEN;
       }
       const now = clock.now();
-      if (view.own && view.own.take(1, now) > 0) {
+      if (view.localBucket && view.localBucket.take(1, now) > 0) {
         return admitted(tenant.name);
       }
       const borrowing = borrowingOf(view.tenant);
-      if (now < borrowing.restsUntil) {
+      if (now < borrowing.backoffUntil) {
         return refused(view, borrowing);
       }
       return new Promise((resolve) => {
@@ -260,11 +264,11 @@
   return {
     ratePerS,
     burst,
-    dryUntil: new Map(),
-    restedAt: new Map(),
+    refilledAt: new Map(),
+    askAgainAt: new Map(),
     silentUntil: new Map(),
-    restsUntil: 0,
+    backoffUntil: 0,
     askedAt: undefined,
-    lastReturnAt: 0,
+    lastRetryAt: 0,
   };
 }
--- a/src/tenants/quotaParts.test.ts
+++ b/src/tenants/quotaParts.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { holdersOf, type QuotaBounds, quotaOf, windowBound } from './quotaParts.js';
+import { holdersOf, type QuotaBounds, quotaLimitsOf, windowBound } from './quotaParts.js';
 import { tenantSchema } from './tenant.js';
 import { createTokenBucket } from './tokenBucket.js';
 
@@ -10,7 +10,7 @@
 
 /** Share of the requests that one bucket lets through if they come `together` at a time. */
 function admittedShare(ratePerS: number, together: number, bounds: QuotaBounds): number {
-  const bucket = createTokenBucket(quotaOf(CALM, bounds), 0, 0);
+  const bucket = createTokenBucket(quotaLimitsOf(CALM, bounds), 0, 0);
   const pauseMs = (together * 1_000) / ratePerS;
   let asked = 0;
   let admitted = 0;
@@ -26,9 +26,9 @@
 describe('the holders of a quota', () => {
   it('are three for a small tenant, so that a silent one has not all refused', () => {
     const small = tenantSchema.parse({ name: 'small', ratePerS: 2, burst: 2 });
-    const few = [CALM, small].map((tenant) => quotaOf(tenant, NARROW));
+    const few = [CALM, small].map((tenant) => quotaLimitsOf(tenant, NARROW));
     expect(few.map((quota) => holdersOf('small', quota, MEMBERS).length)).toEqual([3, 3]);
-    const least = quotaOf(tenantSchema.parse({ name: 'least', ratePerS: 0.1 }), {
+    const least = quotaLimitsOf(tenantSchema.parse({ name: 'least', ratePerS: 0.1 }), {
       windowMs: 1_000,
       overage: 0,
       slack: 0,
@@ -48,13 +48,13 @@
   );
 
   it('keeps the bound with narrow bounds, and fills no slower than the rate', () => {
-    const { tokensPerMs, depth } = quotaOf(CALM, NARROW);
+    const { tokensPerMs, depth } = quotaLimitsOf(CALM, NARROW);
     expect(depth + tokensPerMs * NARROW.windowMs).toBeLessThanOrEqual(windowBound(CALM, NARROW));
     expect(tokensPerMs).toBeGreaterThanOrEqual(CALM.ratePerS / 1_000);
   });
 
   it('spreads the burst over the window where overage and slack are deep enough', () => {
     const wide = { windowMs: 5_000, overage: 0.1, slack: 20 };
-    expect(quotaOf(CALM, wide).tokensPerMs).toBeCloseTo((32 * 5 + 20) / 5_000);
+    expect(quotaLimitsOf(CALM, wide).tokensPerMs).toBeCloseTo((32 * 5 + 20) / 5_000);
   });
 });
--- a/src/tenants/quotaParts.ts
+++ b/src/tenants/quotaParts.ts
@@ -72,7 +72,7 @@
  * was granted just before a window may run in it. Where that leaves no depth for requests that come
  * together, the spread burst gives way: a tenant below its rate is refused nothing either.
  */
-export function quotaOf(tenant: MeshTenant, bounds: QuotaBounds): BucketLimits {
+export function quotaLimitsOf(tenant: MeshTenant, bounds: QuotaBounds): BucketLimits {
   const bound = windowBound(tenant, bounds);
   const spanMs = bounds.windowMs + GRANT_LIFETIME_MS;
   const tokensPerMs = limitOf(tenant, bounds) / bounds.windowMs;
@@ -91,7 +91,7 @@
 }
 
 /** One of the equal parts of a quota. */
-export function partOf(quota: BucketLimits, holders: number): BucketLimits {
+export function partLimitsOf(quota: BucketLimits, holders: number): BucketLimits {
   return { tokensPerMs: quota.tokensPerMs / holders, depth: quota.depth / holders };
 }
 
--- a/src/tenants/quotaPool.ts
+++ b/src/tenants/quotaPool.ts
@@ -3,10 +3,10 @@
 import {
   holdersOf,
   isLimited,
-  partOf,
+  partLimitsOf,
   type QuotaBounds,
   type QuotaMember,
-  quotaOf,
+  quotaLimitsOf,
 } from './quotaParts.js';
 import type { MeshTenant } from './tenant.js';
 import { createTokenBucket, type TokenBucket } from './tokenBucket.js';
@@ -23,11 +23,11 @@
   readonly tenant: MeshTenant;
   readonly holders: readonly QuotaMember[];
   /** The part that is held here. */
-  readonly own: TokenBucket | undefined;
+  readonly localBucket: TokenBucket | undefined;
 }
 
 /** What the parts follow from. */
-export interface QuotaSetting {
+export interface QuotaConfiguration {
   readonly version: number;
   readonly tenants: readonly MeshTenant[];
   readonly members: readonly QuotaMember[];
@@ -36,7 +36,7 @@
 
 export interface QuotaPool {
   /** Takes another version, or other members. */
-  refresh(setting: QuotaSetting, now: number): void;
+  refresh(setting: QuotaConfiguration, now: number): void;
   /** Undefined for a tenant without a limit, and while nothing is known. */
   view(tenant: string): QuotaView | undefined;
   /** Grants of the part that is held here; undefined if none is. */
@@ -54,25 +54,25 @@
   const bucketOf = (
     tenant: MeshTenant,
     holders: readonly QuotaMember[],
-    setting: QuotaSetting,
+    setting: QuotaConfiguration,
     now: number,
   ) => {
     if (!holders.some((holder) => holder.node === node)) {
       return undefined;
     }
-    const part = partOf(quotaOf(tenant, setting.bounds), holders.length);
+    const part = partLimitsOf(quotaLimitsOf(tenant, setting.bounds), holders.length);
     const before = views.get(tenant.name);
-    if (before?.own) {
-      before.own.setLimits(part, now);
-      return before.own;
+    if (before?.localBucket) {
+      before.localBucket.setLimits(part, now);
+      return before.localBucket;
     }
     const isNewLimit = version !== undefined && version !== setting.version && !before;
     return createTokenBucket(part, isNewLimit ? part.depth : 0, now);
   };
 
-  const viewOf = (tenant: MeshTenant, setting: QuotaSetting, now: number): QuotaView => {
-    const holders = holdersOf(tenant.name, quotaOf(tenant, setting.bounds), setting.members);
-    return { tenant, holders, own: bucketOf(tenant, holders, setting, now) };
+  const viewOf = (tenant: MeshTenant, setting: QuotaConfiguration, now: number): QuotaView => {
+    const holders = holdersOf(tenant.name, quotaLimitsOf(tenant, setting.bounds), setting.members);
+    return { tenant, holders, localBucket: bucketOf(tenant, holders, setting, now) };
   };
 
   return {
@@ -83,8 +83,8 @@
     },
     view: (tenant) => views.get(tenant),
     grant: (tenant, wanted, now) => {
-      const own = views.get(tenant)?.own;
-      return own && { granted: own.take(wanted, now), dryMs: own.dryMs(now) };
+      const own = views.get(tenant)?.localBucket;
+      return own && { granted: own.take(wanted, now), dryMs: own.refillMs(now) };
     },
   };
 }
--- a/src/tenants/tenantShares.ts
+++ b/src/tenants/tenantShares.ts
@@ -2,7 +2,7 @@
 import type { MeshTenant } from './tenant.js';
 
 /** Parts of the sum of all limits, from 0 to 1; a tenant without a limit counts as the largest of the others. */
-export function tenantShares(tenants: readonly MeshTenant[]): (tenant: string) => number {
+export function createTenantShares(tenants: readonly MeshTenant[]): (tenant: string) => number {
   const largest = Math.max(0, ...tenants.map(({ ratePerS }) => ratePerS)) || 1;
   const parts = new Map(tenants.map(({ name, ratePerS }) => [name, ratePerS || largest]));
   const sum = [...parts.values()].reduce((total, part) => total + part, 0);
--- a/src/tenants/tenantUse.test.ts
+++ b/src/tenants/tenantUsage.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
-import { createTenantUseCount, readTenantUse } from './tenantUse.js';
+import { createTenantUsageCounter, parseTenantUsage } from './tenantUsage.js';
 
 describe('what tenants have used at a node', () => {
   it('counts the latest requests, let through and refused, and forgets the rest', () => {
     let now = 0;
-    const use = createTenantUseCount({ now: () => now });
-    const read = () => readTenantUse(use.bytes());
+    const use = createTenantUsageCounter({ now: () => now });
+    const read = () => parseTenantUsage(use.serialize());
     use.note('acme', false);
     use.note('acme', false);
     use.note('acme', true);
@@ -24,7 +24,7 @@
   it.each(['', 'null', '{}', '[{"name":"acme"}]', '[{"name":"acme","admitted":-1,"refused":0}]'])(
     'takes nothing from a node that says %s',
     (text) => {
-      expect(readTenantUse(Buffer.from(text))).toBe(undefined);
+      expect(parseTenantUsage(Buffer.from(text))).toBe(undefined);
     },
   );
 });
--- a/src/tenants/tenantUse.ts
+++ b/src/tenants/tenantUsage.ts
@@ -7,7 +7,7 @@
 } from '../model/slidingWindowCounter.js';
 
 /** Counted are the requests of this time, in milliseconds: long enough for a tenant of one in a few seconds. */
-export const USE_WINDOW_MS = 10_000;
+export const USAGE_WINDOW_MS = 10_000;
 
 const useSchema = z.object({
   name: z.string(),
@@ -17,13 +17,13 @@
 });
 
 /** What one tenant has used at one node. */
-export type TenantUse = z.infer<typeof useSchema>;
+export type TenantUsage = z.infer<typeof useSchema>;
 
-export interface TenantUseCount {
+export interface TenantUsageCounter {
   /** A request of a tenant has ended; `isRefused` if its limit refused it. */
   note(tenant: string, isRefused: boolean): void;
   /** As it travels to an operator. */
-  bytes(): Buffer;
+  serialize(): Buffer;
 }
 
 interface Counts {
@@ -32,21 +32,21 @@
 }
 
 /** Keeps one pair of counts for each tenant that has sent a request here: as many as configurations name. */
-export function createTenantUseCount(clock: Clock): TenantUseCount {
+export function createTenantUsageCounter(clock: Clock): TenantUsageCounter {
   const counts = new Map<string, Counts>();
   return {
     note: (tenant, isRefused) => {
       const known = counts.get(tenant) ?? {
-        admitted: createSlidingWindowCounter(USE_WINDOW_MS),
-        refused: createSlidingWindowCounter(USE_WINDOW_MS),
+        admitted: createSlidingWindowCounter(USAGE_WINDOW_MS),
+        refused: createSlidingWindowCounter(USAGE_WINDOW_MS),
       };
       counts.set(tenant, known);
       (isRefused ? known.refused : known.admitted).add(clock.now());
     },
-    bytes: () => {
+    serialize: () => {
       const now = clock.now();
       const uses = [...counts].map(
-        ([name, { admitted, refused }]): TenantUse => ({
+        ([name, { admitted, refused }]): TenantUsage => ({
           name,
           admitted: admitted.upperBound(now),
           refused: refused.upperBound(now),
@@ -58,7 +58,7 @@
 }
 
 /** Undefined if a node has said anything else. */
-export function readTenantUse(bytes: Buffer): readonly TenantUse[] | undefined {
+export function parseTenantUsage(bytes: Buffer): readonly TenantUsage[] | undefined {
   try {
     return z.array(useSchema).parse(JSON.parse(bytes.toString()));
   } catch {
--- a/src/tenants/tokenBucket.ts
+++ b/src/tenants/tokenBucket.ts
@@ -12,9 +12,9 @@
   /** Whole tokens taken, at the most `wanted`. */
   take(wanted: number, now: number): number;
   /** Puts back a token whose request has not run. */
-  giveBack(now: number): void;
+  refund(now: number): void;
   /** Milliseconds until there is a whole token. */
-  dryMs(now: number): number;
+  refillMs(now: number): number;
   /** Goes on under other limits with what it holds. */
   setLimits(limits: BucketLimits, now: number): void;
 }
@@ -42,11 +42,11 @@
       tokens -= taken;
       return taken;
     },
-    giveBack: (now) => {
+    refund: (now) => {
       fill(now);
       tokens = Math.min(limits.depth, tokens + 1);
     },
-    dryMs: (now) => {
+    refillMs: (now) => {
       fill(now);
       return tokens + ROUNDING >= 1 ? 0 : (1 - tokens) / limits.tokensPerMs;
     },
