--- a/lab/rolloutTrial.ts
+++ b/lab/rolloutTrial.ts
@@ -8,7 +8,7 @@
 import type { OwnerEntry } from '../src/directory/owner-entry.js';
 import { createRolloutReporter, type RolloutReporter } from '../src/directory/rolloutReporter.js';
 import { createRolloutSteering, type RolloutSteering } from '../src/directory/rolloutSteering.js';
-import type { News } from '../src/peer/peerCaller.js';
+import type { Announcement } from '../src/peer/peerClient.js';
 import {
   decodeRolloutMessage,
   type PhaseMessage,
@@ -179,7 +179,7 @@
       noteResigned: () => {},
     };
     const caller = {
-      tell: (address: string, { content }: News) => {
+      sendAnnouncement: (address: string, { content }: Announcement) => {
         const isReport = decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence;
         if (!isReport || !isMute(name, now)) {
           send(address, content, isReport ? reportMs : wordMs);
--- a/src/cli/fleetStatus.ts
+++ b/src/cli/fleetStatus.ts
@@ -3,7 +3,7 @@
 import { NODE_KIND } from '../directory/directory-sync.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { isOwnerRecord, readOwnerRecords } from '../directory/ownerRecord.js';
-import { PeerCaller } from '../peer/peerCaller.js';
+import { PeerClient } from '../peer/peerClient.js';
 import type { PeerReport } from '../peer/peerMessages.js';
 import { type ObjectStore, ReadConsistency, type StoreFailure } from '../source/object-store.js';
 import { parseTenantUsage, type TenantUsage } from '../tenants/tenantUsage.js';
@@ -137,9 +137,9 @@
 /** Asks nodes, some at a time. */
 function askAll<Answer>(
   records: readonly OwnerRecord[],
-  ask: (caller: PeerCaller, record: OwnerRecord) => Promise<Answer>,
+  ask: (caller: PeerClient, record: OwnerRecord) => Promise<Answer>,
 ): Promise<Answer[]> {
-  const caller = new PeerCaller(
+  const caller = new PeerClient(
     () => ({ address: NO_ADDRESS, version: 0 }),
     () => NO_REPORT,
   );
--- a/src/directory/directory-sync.test.ts
+++ b/src/directory/directory-sync.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import { MemoryStore, StoreView } from '../../lab/memory-store.js';
 import { peerReport } from '../../test/fixtures.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
+import type { PeerClient } from '../peer/peerClient.js';
 import type { PeerReport } from '../peer/peerMessages.js';
 import type { ObjectStore } from '../source/object-store.js';
 import { DirectorySync, type DirectorySyncOptions, NODE_KIND } from './directory-sync.js';
@@ -43,7 +43,7 @@
       asked.push(address);
       return Promise.resolve(answer(address));
     },
-  } as unknown as PeerCaller;
+  } as unknown as PeerClient;
   const never = () => new Promise<never>(() => {});
   const sync = new DirectorySync({
     clock,
--- a/src/directory/directory-sync.ts
+++ b/src/directory/directory-sync.ts
@@ -3,7 +3,7 @@
  * follows those of the others, and asks absent owners whether they are back.
  */
 import type { Clock } from '../model/clock.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
+import type { PeerClient } from '../peer/peerClient.js';
 import type { PeerReport, PeerSender } from '../peer/peerMessages.js';
 import {
   type CollectionHandler,
@@ -37,7 +37,7 @@
   readonly clock: Clock;
   readonly store: ObjectStore;
   readonly directory: OwnerDirectory;
-  readonly caller: PeerCaller;
+  readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
   /** True while other nodes go by whether this one has left; left out: they do not. */
   readonly tellsLeaving?: () => boolean;
--- a/src/directory/newsBroadcast.ts
+++ b/src/directory/newsBroadcast.ts
@@ -4,8 +4,8 @@
  * needs certainty tells it again, or keeps it in the store as well.
  */
 import { rankNames } from '../model/rendezvous.js';
-import type { News, PeerCaller } from '../peer/peerCaller.js';
-import type { NewsMessage, NewsTopic } from '../peer/peerMessages.js';
+import type { Announcement, PeerClient } from '../peer/peerClient.js';
+import type { AnnouncementMessage, AnnouncementTopic } from '../peer/peerMessages.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
@@ -22,7 +22,7 @@
 /** What is needed of the node. */
 export interface NewsBroadcastContext {
   readonly directory: OwnerDirectory;
-  readonly caller: PeerCaller;
+  readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
 }
 
@@ -31,11 +31,11 @@
 
 export interface NewsBroadcast {
   /** Something was found out here; `content` is a value of CBOR. */
-  tell(topic: NewsTopic, content: unknown): void;
+  tell(topic: AnnouncementTopic, content: unknown): void;
   /** Another node has told something. */
-  take(message: NewsMessage): void;
+  take(message: AnnouncementMessage): void;
   /** Who takes the news of a topic: one listener each. */
-  listen(topic: NewsTopic, listener: NewsListener): void;
+  listen(topic: AnnouncementTopic, listener: NewsListener): void;
 }
 
 export function createNewsBroadcast({
@@ -43,24 +43,24 @@
   caller,
   own,
 }: NewsBroadcastContext): NewsBroadcast {
-  const listeners = new Map<NewsTopic, NewsListener>();
+  const listeners = new Map<AnnouncementTopic, NewsListener>();
 
   const othersIn = (isWanted: (entry: OwnerEntry) => boolean): OwnerEntry[] =>
     directory.all().filter((entry) => !entry.isLocal && isWanted(entry));
 
-  const send = (entries: readonly OwnerEntry[], news: News): void => {
+  const send = (entries: readonly OwnerEntry[], news: Announcement): void => {
     for (const { record } of entries) {
-      void caller.tell(record.address, news, TELL_TIMEOUT_MS);
+      void caller.sendAnnouncement(record.address, news, TELL_TIMEOUT_MS);
     }
   };
 
-  const tellZone = (topic: NewsTopic, content: unknown): void =>
+  const tellZone = (topic: AnnouncementTopic, content: unknown): void =>
     send(
       othersIn((entry) => directory.isNear(entry)),
-      { topic, content, passesOn: false },
+      { topic, content, shouldForward: false },
     );
 
-  const tellOtherZones = (topic: NewsTopic, content: unknown): void => {
+  const tellOtherZones = (topic: AnnouncementTopic, content: unknown): void => {
     const far = othersIn((entry) => !directory.isNear(entry) && entry.absence !== 'silent');
     for (const zone of new Set(far.map(({ record }) => record.zone))) {
       const nodes = far.filter(({ record }) => record.zone === zone);
@@ -70,7 +70,7 @@
       ).slice(0, TOLD_IN_OTHER_ZONES);
       send(
         nodes.filter(({ record }) => ranked.includes(record.node)),
-        { topic, content, passesOn: true },
+        { topic, content, shouldForward: true },
       );
     }
   };
@@ -80,9 +80,9 @@
       tellZone(topic, content);
       tellOtherZones(topic, content);
     },
-    take: ({ topic, content, passesOn, sender }) => {
+    take: ({ topic, content, shouldForward, sender }) => {
       listeners.get(topic)?.(content, sender.address);
-      if (passesOn) {
+      if (shouldForward) {
         tellZone(topic, content);
       }
     },
--- a/src/directory/ownerWords.ts
+++ b/src/directory/ownerWords.ts
@@ -1,7 +1,7 @@
 /** The decider's words to the owners of the version: how many requests each may let through. */
 import type { Clock } from '../model/clock.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
-import { NewsTopic } from '../peer/peerMessages.js';
+import type { PeerClient } from '../peer/peerClient.js';
+import { AnnouncementTopic } from '../peer/peerMessages.js';
 import type { RolloutStep } from '../rollout/rolloutDecider.js';
 import {
   encodeRolloutMessage,
@@ -27,7 +27,7 @@
 /** What is needed of the node. */
 export interface OwnerWordsContext {
   readonly clock: Clock;
-  readonly caller: Pick<PeerCaller, 'tell'>;
+  readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly directory: Pick<OwnerDirectory, 'ownersOf'>;
   readonly own: () => OwnerRecord;
   /** A limit of the owner here. */
@@ -49,8 +49,8 @@
 
   const tell = ({ record }: OwnerEntry, news: RolloutMessage): void => {
     const content = encodeRolloutMessage(news);
-    const message = { topic: NewsTopic.RollOuts, content, passesOn: false };
-    void caller.tell(record.address, message, TELL_TIMEOUT_MS);
+    const message = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
+    void caller.sendAnnouncement(record.address, message, TELL_TIMEOUT_MS);
   };
 
   const tellOwner = (news: LimitMessage): void => {
--- a/src/directory/quarantineSync.ts
+++ b/src/directory/quarantineSync.ts
@@ -5,7 +5,7 @@
  */
 import type { Clock } from '../model/clock.js';
 import { rankNames } from '../model/rendezvous.js';
-import { NewsTopic } from '../peer/peerMessages.js';
+import { AnnouncementTopic } from '../peer/peerMessages.js';
 import {
   decodeCrashAnnouncement,
   encodeCrashAnnouncement,
@@ -128,7 +128,7 @@
     }
   };
 
-  broadcast.listen(NewsTopic.Crashes, (content, from) => {
+  broadcast.listen(AnnouncementTopic.Crashes, (content, from) => {
     const news = decodeCrashAnnouncement(content);
     if (news) {
       noteQuarantined(ledger.applyAnnouncement(news, clock.now()), from);
@@ -147,7 +147,7 @@
       records.stop();
     },
     tell: (news) => {
-      broadcast.tell(NewsTopic.Crashes, encodeCrashAnnouncement(news));
+      broadcast.tell(AnnouncementTopic.Crashes, encodeCrashAnnouncement(news));
       noteQuarantined(news.quarantined, 'own');
       if (news.incarnation !== undefined) {
         // First crashes are of no use there: most of what was under way runs to its end at once.
--- a/src/directory/rolloutReporter.test.ts
+++ b/src/directory/rolloutReporter.test.ts
@@ -34,7 +34,7 @@
       noteDeaf: () => {},
       noteResigned: () => {},
     },
-    caller: { tell: () => Promise.resolve(true) },
+    caller: { sendAnnouncement: () => Promise.resolve(true) },
     own: () => NODE,
     backEnd: () => ({ service: 'desk', version, isReady: true, slots: 8, load: 0 }),
     isAlone: () => isAlone,
--- a/src/directory/rolloutReporter.ts
+++ b/src/directory/rolloutReporter.ts
@@ -1,8 +1,8 @@
 /** An owner's part in a roll-out: it tells the decider what its back end has made of its requests. */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../model/clock.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
-import { NewsTopic } from '../peer/peerMessages.js';
+import type { PeerClient } from '../peer/peerClient.js';
+import { AnnouncementTopic } from '../peer/peerMessages.js';
 import {
   type EvidenceReport,
   encodeRolloutMessage,
@@ -50,7 +50,7 @@
   readonly clock: Clock;
   readonly book: RolloutTracker;
   readonly election: RolloutElection;
-  readonly caller: Pick<PeerCaller, 'tell'>;
+  readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly own: () => OwnerRecord;
   readonly backEnd: () => OwnBackEnd;
   /** True if all other owners of the service are known to have the version. */
@@ -129,8 +129,8 @@
       return;
     }
     const content = encodeRolloutMessage(evidence);
-    const news = { topic: NewsTopic.RollOuts, content, passesOn: false };
-    void caller.tell(decider.record.address, news, TELL_TIMEOUT_MS).then((isTaken) => {
+    const news = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
+    void caller.sendAnnouncement(decider.record.address, news, TELL_TIMEOUT_MS).then((isTaken) => {
       if (!isTaken) {
         election.noteDeaf(decider.record.node);
       }
--- a/src/directory/rolloutSteering.test.ts
+++ b/src/directory/rolloutSteering.test.ts
@@ -47,7 +47,7 @@
     directory: { all: () => entries, ownersOf: () => entries },
     broadcast: { tell: () => {} },
     caller: {
-      tell: (address, { content }) => {
+      sendAnnouncement: (address, { content }) => {
         if (decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence) {
           passedOn.push(address);
         }
--- a/src/directory/rolloutSteering.ts
+++ b/src/directory/rolloutSteering.ts
@@ -1,5 +1,5 @@
 import { rankNames } from '../model/rendezvous.js';
-import { NewsTopic } from '../peer/peerMessages.js';
+import { AnnouncementTopic } from '../peer/peerMessages.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
 import {
   createRolloutDecider,
@@ -144,7 +144,7 @@
       ...(plan ? { plan } : {}),
     };
     context.onPhase(news);
-    broadcast.tell(NewsTopic.RollOuts, encodeRolloutMessage(news));
+    broadcast.tell(AnnouncementTopic.Rollouts, encodeRolloutMessage(news));
   };
 
   /** Another node is to decide: the store refuses this one's writes. */
@@ -152,7 +152,7 @@
     const { node } = own();
     const kind = RolloutMessageKind.Resignation;
     election.noteResigned(service, node);
-    broadcast.tell(NewsTopic.RollOuts, encodeRolloutMessage({ kind, service, node }));
+    broadcast.tell(AnnouncementTopic.Rollouts, encodeRolloutMessage({ kind, service, node }));
   };
 
   /**
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -7,8 +7,8 @@
  */
 
 import type { Clock } from '../model/clock.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
-import { NewsTopic } from '../peer/peerMessages.js';
+import type { PeerClient } from '../peer/peerClient.js';
+import { AnnouncementTopic } from '../peer/peerMessages.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
 import {
   decodeRolloutMessage,
@@ -48,7 +48,7 @@
   readonly objects: RolloutObjects;
   readonly directory: OwnerDirectory;
   readonly broadcast: NewsBroadcast;
-  readonly caller: PeerCaller;
+  readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
   readonly backEnd: () => OwnBackEnd;
   readonly contactMs: () => number;
@@ -154,7 +154,7 @@
     }
   };
 
-  broadcast.listen(NewsTopic.RollOuts, (content, from) => {
+  broadcast.listen(AnnouncementTopic.Rollouts, (content, from) => {
     const news = decodeRolloutMessage(content);
     switch (news?.kind) {
       case RolloutMessageKind.Phase:
--- a/src/peer/silenceLimit.ts
+++ b/src/peer/adaptiveTimeout.ts
@@ -17,22 +17,22 @@
 const LONGEST_MS = 1_000;
 
 /** Learns from the answers of one node. */
-export interface SilenceLimit {
+export interface AdaptiveTimeout {
   /** Milliseconds that the node may stay silent. */
-  readonly ms: number;
+  readonly currentMs: number;
   /** The node has answered after this many milliseconds. */
-  note(tookMs: number): void;
+  noteReply(tookMs: number): void;
 }
 
-export function createSilenceLimit(): SilenceLimit {
+export function createAdaptiveTimeout(): AdaptiveTimeout {
   let meanMs: number | undefined;
   let deviationMs = 0;
   return {
-    get ms() {
+    get currentMs() {
       const usualMs = (meanMs ?? 0) + DEVIATIONS * deviationMs;
       return Math.min(LONGEST_MS, Math.max(SHORTEST_MS, usualMs));
     },
-    note: (tookMs) => {
+    noteReply: (tookMs) => {
       if (meanMs === undefined) {
         meanMs = tookMs;
         deviationMs = tookMs / 2;
--- a/src/peer/bodyReceiver.test.ts
+++ b/src/peer/bodyReceiver.test.ts
@@ -13,9 +13,9 @@
 function pausableConnection() {
   const state = { isPaused: false };
   const connection: PeerConnection = {
-    hasStood: true,
+    wasEstablished: true,
     isClosed: false,
-    listen: () => {},
+    setListener: () => {},
     send: () => {},
     sendBody: () => Promise.resolve(),
     setPaused: (paused) => {
--- a/src/peer/bodyReceiver.ts
+++ b/src/peer/bodyReceiver.ts
@@ -14,7 +14,7 @@
   /** Nobody reads the body any longer. */
   discard(): void;
   /** No more chunks will come. */
-  breakOff(): void;
+  abort(): void;
 }
 
 /**
@@ -81,7 +81,7 @@
       }
     },
     discard: () => rest?.destroy(),
-    breakOff: () => {
+    abort: () => {
       if (!isComplete) {
         const error = new Error('the message broke off');
         rest?.destroy(error);
--- a/src/peer/bodySender.test.ts
+++ b/src/peer/bodySender.test.ts
@@ -1,12 +1,12 @@
 import { Readable } from 'node:stream';
 import { describe, expect, it, vi } from 'vitest';
-import { bulkWindowOf, createBodySender } from './bodySender.js';
+import { createBodySender, sendWindowOf } from './bodySender.js';
 import type { ChunkMessage } from './peerMessages.js';
 
 function senderOf(linkMbps: number | undefined) {
   const sent: ChunkMessage[] = [];
   const sink = { send: (message: ChunkMessage) => sent.push(message), writable: async () => {} };
-  return { sent, sender: createBodySender(sink, bulkWindowOf(linkMbps)) };
+  return { sent, sender: createBodySender(sink, sendWindowOf(linkMbps)) };
 }
 
 function bytesOf(length: number) {
@@ -20,15 +20,15 @@
 
 describe('the window of bodies', () => {
   it('holds a link of 3.5 Mbit/s up for 40 ms, in two chunks', () => {
-    expect(bulkWindowOf(3.5)).toEqual({ chunkBytes: 8_750, chunks: 2 });
+    expect(sendWindowOf(3.5)).toEqual({ chunkBytes: 8_750, chunks: 2 });
   });
 
   it('is that of the narrower link', () => {
-    expect(bulkWindowOf(1_000, 3.5)).toEqual(bulkWindowOf(3.5));
+    expect(sendWindowOf(1_000, 3.5)).toEqual(sendWindowOf(3.5));
   });
 
   it('does not get in the way of a wide or an unknown link', () => {
-    for (const window of [bulkWindowOf(1_000), bulkWindowOf(undefined)]) {
+    for (const window of [sendWindowOf(1_000), sendWindowOf(undefined)]) {
       expect(window.chunkBytes).toBe(64 * 1024);
       expect(window.chunks).toBeGreaterThanOrEqual(64);
     }
--- a/src/peer/bodySender.ts
+++ b/src/peer/bodySender.ts
@@ -19,14 +19,14 @@
 const BITS_PER_MS_OF_ONE_MBPS = 1_000;
 
 /** How much of a body may be on its way. */
-export interface BulkWindow {
+export interface SendWindow {
   readonly chunkBytes: number;
   /** Chunks that may be without an acknowledgement. */
   readonly chunks: number;
 }
 
 /** For links that carry so many megabits a second; an unknown one is taken for a wide one. */
-export function bulkWindowOf(...linksMbps: readonly (number | undefined)[]): BulkWindow {
+export function sendWindowOf(...linksMbps: readonly (number | undefined)[]): SendWindow {
   const mbps = Math.min(...linksMbps.map((link) => link ?? Number.POSITIVE_INFINITY));
   const windowBytes = (mbps * BITS_PER_MS_OF_ONE_MBPS * BULK_WINDOW_MS) / BITS_PER_BYTE;
   const wanted = Math.floor(windowBytes / CHUNKS_PER_WINDOW);
@@ -51,7 +51,7 @@
   onClose(): void;
 }
 
-export function createBodySender(sink: BodySink, window: BulkWindow): BodySender {
+export function createBodySender(sink: BodySink, window: SendWindow): BodySender {
   let unacknowledged = 0;
   let isLost = false;
   let wake: () => void = () => {};
--- a/src/peer/ownerPatience.ts
+++ b/src/peer/livenessTimer.ts
@@ -6,32 +6,32 @@
 const PING_GROWTH = 2;
 
 /** What is needed of the exchange. */
-export interface OwnerPatienceContext {
+export interface LivenessTimerContext {
   readonly clock: Clock;
   readonly peer: PeerState;
   /** True while the offer waits for its first answer; false at once if the body went with it. */
-  readonly isOffered: () => boolean;
+  readonly isOfferPending: () => boolean;
   /** Asks whether the owner is still there; false if such an exchange is not asked about. */
   readonly ping: () => boolean;
   /** What was awaited has come after so many milliseconds. */
   readonly onReply?: ((tookMs: number) => void) | undefined;
   /** What was awaited has not come; `isHeardOf` if other exchanges have heard of the owner meanwhile. */
-  readonly onSilence: (isHeardOf: boolean) => void;
+  readonly onTimeout: (isHeardOf: boolean) => void;
 }
 
-export interface OwnerPatience {
+export interface LivenessTimer {
   /** The offer is sent. */
-  begin(): void;
+  start(): void;
   /** Something has come from the owner; to be called before its effect on `isOffered`. */
-  noteHeard(): void;
+  noteReceived(): void;
   /** The exchange is over. */
   stop(): void;
 }
 
-export function createOwnerPatience(context: OwnerPatienceContext): OwnerPatience {
-  const { clock, peer, isOffered, ping, onReply, onSilence } = context;
+export function createLivenessTimer(context: LivenessTimerContext): LivenessTimer {
+  const { clock, peer, isOfferPending, ping, onReply, onTimeout } = context;
   /** Milliseconds after which a silent owner is asked whether it is still there. */
-  let patienceMs = peer.silence.ms;
+  let patienceMs = peer.replyTimeout.currentMs;
   /** Steady time in milliseconds since which something is awaited of the owner. */
   let awaitingSince = 0;
   let isPinged = false;
@@ -54,27 +54,27 @@
     if (isStopped) {
       return;
     }
-    if (isOffered() || isPinged) {
-      onSilence(peer.heardAt > awaitingSince);
+    if (isOfferPending() || isPinged) {
+      onTimeout(peer.lastReceivedAt > awaitingSince);
       return;
     }
     if (ping()) {
       isPinged = true;
       awaitingSince = clock.now();
-      startTimer(peer.silence.ms);
+      startTimer(peer.replyTimeout.currentMs);
     }
   };
 
   return {
-    begin: () => {
+    start: () => {
       awaitingSince = clock.now();
       startTimer(patienceMs);
     },
-    noteHeard: () => {
+    noteReceived: () => {
       const now = clock.now();
-      peer.heardAt = now;
-      if (isOffered() || isPinged) {
-        peer.silence.note(now - awaitingSince);
+      peer.lastReceivedAt = now;
+      if (isOfferPending() || isPinged) {
+        peer.replyTimeout.noteReply(now - awaitingSince);
         onReply?.(now - awaitingSince);
       }
       if (isPinged) {
--- a/src/peer/peerCaller.ts
+++ b/src/peer/peerClient.ts
@@ -4,26 +4,26 @@
 import { endpointOf } from '../model/endpoint.js';
 import { createPeerConnection, type SentObserver } from './peerConnection.js';
 import {
+  type AnnouncementTopic,
   MessageKind,
-  type NewsTopic,
   type PeerMessage,
-  PeerQuestion,
+  PeerQuery,
   type PeerReport,
   type PeerSender,
-  type ToldMessage,
+  type QueryResultMessage,
 } from './peerMessages.js';
 
 /** News as one node is told it. */
-export interface News {
-  readonly topic: NewsTopic;
+export interface Announcement {
+  readonly topic: AnnouncementTopic;
   /** A value of CBOR. */
   readonly content: unknown;
   /** True if the receiver is to pass it on to the nodes of its zone. */
-  readonly passesOn: boolean;
+  readonly shouldForward: boolean;
 }
 
 /** Calls other nodes on connections of their own. */
-export class PeerCaller {
+export class PeerClient {
   constructor(
     private readonly sender: () => PeerSender,
     private readonly report: () => PeerReport,
@@ -32,30 +32,30 @@
 
   /** Tells another node one's own status and asks for its; undefined when it does not answer. */
   async status(address: string, timeoutMs: number): Promise<PeerReport | undefined> {
-    const told = await this.ask(address, PeerQuestion.Status, timeoutMs);
+    const told = await this.ask(address, PeerQuery.Status, timeoutMs);
     return told?.report;
   }
 
   /** Asks for the configuration that another node holds. */
   async configuration(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuestion.Configuration, timeoutMs);
+    const told = await this.ask(address, PeerQuery.Configuration, timeoutMs);
     return told?.bytes;
   }
 
   /** Asks for the owners that another node knows. */
   async directory(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuestion.Directory, timeoutMs);
+    const told = await this.ask(address, PeerQuery.Directory, timeoutMs);
     return told?.bytes;
   }
 
   /** Asks for what tenants have used at another node of late. */
   async tenantUse(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuestion.TenantUse, timeoutMs);
+    const told = await this.ask(address, PeerQuery.TenantUse, timeoutMs);
     return told?.bytes;
   }
 
   /** Tells news; false when nobody took it. */
-  async tell(address: string, news: News, timeoutMs: number): Promise<boolean> {
+  async sendAnnouncement(address: string, news: Announcement, timeoutMs: number): Promise<boolean> {
     const message = { kind: MessageKind.News, sender: this.sender(), ...news } as const;
     const reply = await this.exchange(address, message, timeoutMs);
     return reply?.kind === MessageKind.Pong;
@@ -63,9 +63,9 @@
 
   private async ask(
     address: string,
-    question: PeerQuestion,
+    question: PeerQuery,
     timeoutMs: number,
-  ): Promise<ToldMessage | undefined> {
+  ): Promise<QueryResultMessage | undefined> {
     const message = {
       kind: MessageKind.Ask,
       question,
@@ -87,7 +87,7 @@
         onSent: this.onSent,
       });
       const timer = setTimeout(() => connection.destroy(), timeoutMs);
-      connection.listen({
+      connection.setListener({
         onMessage: (reply) => {
           resolve(reply);
           connection.destroy();
--- a/src/peer/peerCodec.ts
+++ b/src/peer/peerCodec.ts
@@ -4,21 +4,21 @@
 import { isNonNegativeInteger, isNonNegativeNumber } from '../codec/numberGuards.js';
 import type { NotRunReason, OwnerNotRun, OwnerUnknown } from '../owner/owner.js';
 import {
+  type AnnouncementMessage,
+  AnnouncementTopic,
   type AnswerMessage,
-  type AskMessage,
   MessageKind,
-  type NewsMessage,
-  NewsTopic,
   type OfferMessage,
   type PeerMessage,
-  PeerQuestion,
+  PeerQuery,
   type PeerSender,
-  type QuotaAskMessage,
+  type QueryMessage,
+  type QuotaRequestMessage,
   type ReadMessage,
-  type TurnedAwayMessage,
+  type RejectedMessage,
 } from './peerMessages.js';
-import { listOfReport, readReport } from './reportCodec.js';
-import { listOfTask, readTask } from './taskCodec.js';
+import { decodeReport, encodeReport } from './reportCodec.js';
+import { decodeTask, encodeTask } from './taskCodec.js';
 
 /** Status codes that may be written (RFC 9110, section 15). */
 const LEAST_STATUS = 100;
@@ -34,7 +34,7 @@
     case MessageKind.Offer:
       return [
         listOfSender(message.sender),
-        listOfTask(message.task),
+        encodeTask(message.task),
         message.method,
         message.target,
         message.headers,
@@ -43,13 +43,13 @@
     case MessageKind.Chunk:
       return [message.bytes, message.isLast];
     case MessageKind.Ask:
-      return [message.question, listOfSender(message.sender), listOfReport(message.report)];
+      return [message.question, listOfSender(message.sender), encodeReport(message.report)];
     case MessageKind.Read: {
       const { kind, revision, waitMs, base } = message.question;
       return [listOfSender(message.sender), kind, revision, Math.ceil(waitMs), base];
     }
     case MessageKind.News:
-      return [listOfSender(message.sender), message.topic, message.content, message.passesOn];
+      return [listOfSender(message.sender), message.topic, message.content, message.shouldForward];
     case MessageKind.ReadResult:
       return [message.bytes];
     case MessageKind.QuotaAsk:
@@ -59,14 +59,14 @@
     case MessageKind.TurnedAway: {
       const { reason, arrived, retryAfterMs } = message.outcome;
       const waitMs = retryAfterMs === undefined ? undefined : Math.ceil(retryAfterMs);
-      return [reason, arrived, waitMs, listOfReport(message.report)];
+      return [reason, arrived, waitMs, encodeReport(message.report)];
     }
     case MessageKind.Lost:
-      return [message.outcome.reason, listOfReport(message.report)];
+      return [message.outcome.reason, encodeReport(message.report)];
     case MessageKind.Answer:
-      return [message.status, message.headers, message.body, listOfReport(message.report)];
+      return [message.status, message.headers, message.body, encodeReport(message.report)];
     case MessageKind.Told:
-      return [listOfReport(message.report), message.bytes];
+      return [encodeReport(message.report), message.bytes];
     default:
       return [];
   }
@@ -107,7 +107,7 @@
       return readTurnedAway(content);
     case MessageKind.Lost: {
       const [reason, told] = content;
-      const report = readReport(told);
+      const report = decodeReport(told);
       return report && typeof reason === 'string'
         ? { kind, outcome: unknownFor(reason as OwnerUnknown['reason']), report }
         : undefined;
@@ -115,7 +115,7 @@
     case MessageKind.Answer:
       return readAnswer(content);
     case MessageKind.Told: {
-      const report = readReport(content[0]);
+      const report = decodeReport(content[0]);
       return report && { kind, report, bytes: bytesOrNone(content[1]) };
     }
     case MessageKind.Ping:
@@ -134,7 +134,7 @@
   | OfferMessage
   | undefined {
   const from = readSender(sender);
-  const fields = readTask(task);
+  const fields = decodeTask(task);
   if (!from || !fields || typeof method !== 'string' || typeof target !== 'string') {
     return undefined;
   }
@@ -152,25 +152,27 @@
   };
 }
 
-function readAsk([question, sender, report]: unknown[]): AskMessage | undefined {
+function readAsk([question, sender, report]: unknown[]): QueryMessage | undefined {
   const from = readSender(sender);
-  const told = readReport(report);
-  const isKnown = Object.values(PeerQuestion).includes(question as PeerQuestion);
+  const told = decodeReport(report);
+  const isKnown = Object.values(PeerQuery).includes(question as PeerQuery);
   return from && told && isKnown
-    ? { kind: MessageKind.Ask, question: question as PeerQuestion, sender: from, report: told }
+    ? { kind: MessageKind.Ask, question: question as PeerQuery, sender: from, report: told }
     : undefined;
 }
 
-function readNews([sender, topic, news, passesOn]: unknown[]): NewsMessage | undefined {
+function readNews([sender, topic, news, shouldForward]: unknown[]):
+  | AnnouncementMessage
+  | undefined {
   const from = readSender(sender);
-  const isKnown = Object.values(NewsTopic).includes(topic as NewsTopic);
+  const isKnown = Object.values(AnnouncementTopic).includes(topic as AnnouncementTopic);
   return from && isKnown
     ? {
         kind: MessageKind.News,
         sender: from,
-        topic: topic as NewsTopic,
+        topic: topic as AnnouncementTopic,
         content: news,
-        passesOn: passesOn === true,
+        shouldForward: shouldForward === true,
       }
     : undefined;
 }
@@ -184,7 +186,7 @@
   return { kind: MessageKind.Read, sender: from, question };
 }
 
-function readQuotaAsk([sender, tenant, wanted]: unknown[]): QuotaAskMessage | undefined {
+function readQuotaAsk([sender, tenant, wanted]: unknown[]): QuotaRequestMessage | undefined {
   const from = readSender(sender);
   return from && typeof tenant === 'string' && isNonNegativeInteger(wanted)
     ? { kind: MessageKind.QuotaAsk, sender: from, tenant, wanted }
@@ -196,9 +198,9 @@
 }
 
 function readTurnedAway([reason, arrived, retryAfterMs, told]: unknown[]):
-  | TurnedAwayMessage
+  | RejectedMessage
   | undefined {
-  const report = readReport(told);
+  const report = decodeReport(told);
   if (!report || typeof reason !== 'string') {
     return undefined;
   }
@@ -212,7 +214,7 @@
 }
 
 function readAnswer([status, headers, body, told]: unknown[]): AnswerMessage | undefined {
-  const report = readReport(told);
+  const report = decodeReport(told);
   return report && isStatus(status) && isTexts(headers)
     ? { kind: MessageKind.Answer, status, headers, body: bytesOrNone(body), report }
     : undefined;
--- a/src/peer/peerConnection.ts
+++ b/src/peer/peerConnection.ts
@@ -2,7 +2,7 @@
 import type { Socket } from 'node:net';
 import { FrameReader } from '../codec/frame.js';
 import type { MessageBody } from '../owner/message-body.js';
-import { type BulkWindow, bulkWindowOf, createBodySender } from './bodySender.js';
+import { createBodySender, type SendWindow, sendWindowOf } from './bodySender.js';
 import { decodeMessage, encodeMessage } from './peerCodec.js';
 import { MAX_CHUNK_BYTES, MessageKind, type PeerMessage } from './peerMessages.js';
 
@@ -16,10 +16,10 @@
 /** Messages over one socket. */
 export interface PeerConnection {
   /** True once the connection has stood: before that, nothing that was sent can have arrived. */
-  readonly hasStood: boolean;
+  readonly wasEstablished: boolean;
   readonly isClosed: boolean;
   /** Replaces the listener: each exchange brings its own. */
-  listen(listener: PeerListener): void;
+  setListener(listener: PeerListener): void;
   send(message: PeerMessage): void;
   /** Sends a body as chunks, at the speed of the reader; rejects when either side breaks off. */
   sendBody(body: MessageBody): Promise<void>;
@@ -32,10 +32,10 @@
 export type SentObserver = (kind: MessageKind, bytes: number) => void;
 
 /** What connections have beside their sockets. */
-export interface ConnectionTraits {
+export interface ConnectionOptions {
   readonly onSent?: SentObserver | undefined;
   /** How much of a body may be on its way; as over a wide link when left out. */
-  readonly window?: BulkWindow | undefined;
+  readonly window?: SendWindow | undefined;
 }
 
 const NO_LISTENER: PeerListener = { onMessage: () => {}, onClose: () => {} };
@@ -43,7 +43,7 @@
 /** Takes a socket over, connected or connecting. */
 export function createPeerConnection(
   socket: Socket,
-  { onSent = () => {}, window = bulkWindowOf() }: ConnectionTraits = {},
+  { onSent = () => {}, window = sendWindowOf() }: ConnectionOptions = {},
 ): PeerConnection {
   const reader = new FrameReader();
   let listener = NO_LISTENER;
@@ -88,13 +88,13 @@
     }
   });
   return {
-    get hasStood() {
+    get wasEstablished() {
       return hasStood;
     },
     get isClosed() {
       return isClosed || socket.destroyed;
     },
-    listen: (next) => {
+    setListener: (next) => {
       listener = next;
     },
     send,
--- a/src/peer/peerConnections.ts
+++ b/src/peer/peerConnectionPool.ts
@@ -3,7 +3,7 @@
 import net from 'node:net';
 import { endpointOf } from '../model/endpoint.js';
 import {
-  type ConnectionTraits,
+  type ConnectionOptions,
   createPeerConnection,
   type PeerConnection,
 } from './peerConnection.js';
@@ -12,20 +12,20 @@
 const IDLE_LIMIT_MS = 30_000;
 
 /** The connections of this node to another one. */
-export interface PeerConnections {
+export interface PeerConnectionPool {
   /** An idle connection, or a new one that may still be connecting. */
-  take(): PeerConnection;
+  acquire(): PeerConnection;
   /** Gives a connection back whose exchange has ended on both sides. */
-  give(connection: PeerConnection): void;
+  release(connection: PeerConnection): void;
   /** Closes what is idle. */
-  close(): void;
+  closeIdle(): void;
 }
 
 /** `address` is `host:port` of the node. */
-export function createPeerConnections(
+export function createPeerConnectionPool(
   address: string,
-  traits: ConnectionTraits = {},
-): PeerConnections {
+  traits: ConnectionOptions = {},
+): PeerConnectionPool {
   const { host, port } = endpointOf(address);
   const idle: PeerConnection[] = [];
   const forget = (connection: PeerConnection) => {
@@ -35,7 +35,7 @@
     }
   };
   return {
-    take: () => {
+    acquire: () => {
       for (let kept = idle.pop(); kept; kept = idle.pop()) {
         if (!kept.isClosed) {
           return kept;
@@ -50,18 +50,18 @@
       });
       return connection;
     },
-    give: (connection) => {
+    release: (connection) => {
       if (connection.isClosed) {
         return;
       }
-      connection.listen({
+      connection.setListener({
         // Nothing is owed on an idle connection.
         onMessage: () => connection.destroy(),
         onClose: () => forget(connection),
       });
       idle.push(connection);
     },
-    close: () => {
+    closeIdle: () => {
       for (const connection of idle.splice(0)) {
         connection.destroy();
       }
--- a/src/peer/peerMessages.test.ts
+++ b/src/peer/peerMessages.test.ts
@@ -3,7 +3,12 @@
 import { FrameReader } from '../codec/frame.js';
 import { encodeCrashAnnouncement } from '../quarantine/crashAnnouncementCodec.js';
 import { decodeMessage, encodeMessage } from './peerCodec.js';
-import { MessageKind, NewsTopic, type PeerMessage, type PeerReport } from './peerMessages.js';
+import {
+  AnnouncementTopic,
+  MessageKind,
+  type PeerMessage,
+  type PeerReport,
+} from './peerMessages.js';
 
 const report = fc.record({
   service: fc.option(fc.string(), { nil: undefined }),
@@ -64,7 +69,11 @@
 const news = fc.record({
   kind: fc.constant(MessageKind.News as const),
   sender: fc.record({ address: fc.string(), version: fc.nat() }),
-  topic: fc.constantFrom(NewsTopic.Crashes, NewsTopic.Quotas, NewsTopic.RollOuts),
+  topic: fc.constantFrom(
+    AnnouncementTopic.Crashes,
+    AnnouncementTopic.Quotas,
+    AnnouncementTopic.Rollouts,
+  ),
   content: fc
     .record({
       incarnation: fc.option(fc.string(), { nil: undefined }),
@@ -73,7 +82,7 @@
       cleared: keys,
     })
     .map(encodeCrashAnnouncement),
-  passesOn: fc.boolean(),
+  shouldForward: fc.boolean(),
 });
 
 const quotaAsk = fc.record({
--- a/src/peer/peerMessages.ts
+++ b/src/peer/peerMessages.ts
@@ -51,17 +51,17 @@
 }
 
 /** What news is about. Numbers, since they travel with every message. */
-export enum NewsTopic {
+export enum AnnouncementTopic {
   /** Requests that crash back ends. */
   Crashes = 1,
   /** What tenants have used of their quotas. */
   Quotas = 2,
   /** How a roll-out goes. */
-  RollOuts = 3,
+  Rollouts = 3,
 }
 
 /** What may be asked of a node. */
-export enum PeerQuestion {
+export enum PeerQuery {
   Status = 'status',
   Configuration = 'configuration',
   Directory = 'directory',
@@ -122,9 +122,9 @@
   readonly isLast: boolean;
 }
 
-export interface AskMessage {
+export interface QueryMessage {
   readonly kind: MessageKind.Ask;
-  readonly question: PeerQuestion;
+  readonly question: PeerQuery;
   readonly sender: PeerSender;
   readonly report: PeerReport;
 }
@@ -135,17 +135,17 @@
   readonly question: StoreQuery;
 }
 
-export interface NewsMessage {
+export interface AnnouncementMessage {
   readonly kind: MessageKind.News;
   readonly sender: PeerSender;
-  readonly topic: NewsTopic;
+  readonly topic: AnnouncementTopic;
   /** A value of CBOR; who listens to the topic reads and checks it. */
   readonly content: unknown;
   /** True if the receiver is to pass it on to the nodes of its zone. */
-  readonly passesOn: boolean;
+  readonly shouldForward: boolean;
 }
 
-export interface QuotaAskMessage {
+export interface QuotaRequestMessage {
   readonly kind: MessageKind.QuotaAsk;
   readonly sender: PeerSender;
   readonly tenant: string;
@@ -166,13 +166,13 @@
   readonly bytes: Buffer;
 }
 
-export interface TurnedAwayMessage {
+export interface RejectedMessage {
   readonly kind: MessageKind.TurnedAway;
   readonly outcome: OwnerNotRun;
   readonly report: PeerReport;
 }
 
-export interface LostMessage {
+export interface OutcomeUnknownMessage {
   readonly kind: MessageKind.Lost;
   readonly outcome: OwnerUnknown;
   readonly report: PeerReport;
@@ -186,7 +186,7 @@
   readonly report: PeerReport;
 }
 
-export interface ToldMessage {
+export interface QueryResultMessage {
   readonly kind: MessageKind.Told;
   readonly report: PeerReport;
   /** Undefined when the node does not know what was asked. */
@@ -194,7 +194,7 @@
 }
 
 /** A message without a content of its own. */
-export interface PlainMessage {
+export interface EmptyMessage {
   readonly kind:
     | MessageKind.Ping
     | MessageKind.Pong
@@ -207,17 +207,17 @@
 export type PeerMessage =
   | OfferMessage
   | ChunkMessage
-  | AskMessage
-  | TurnedAwayMessage
-  | LostMessage
+  | QueryMessage
+  | RejectedMessage
+  | OutcomeUnknownMessage
   | AnswerMessage
-  | ToldMessage
+  | QueryResultMessage
   | ReadMessage
-  | NewsMessage
+  | AnnouncementMessage
   | ReadResultMessage
-  | QuotaAskMessage
+  | QuotaRequestMessage
   | QuotaGrantedMessage
-  | PlainMessage;
+  | EmptyMessage;
 
 /** The fields of a task as they travel; `now` is the present steady time in milliseconds. */
 export function taskFieldsOf(task: OwnerTask, now: number): TaskFields {
--- a/src/peer/peerServer.test.ts
+++ b/src/peer/peerServer.test.ts
@@ -23,10 +23,10 @@
     configuration: () => undefined,
     directory: () => undefined,
     tenantUse: () => Buffer.from('[]'),
-    grant: () => undefined,
-    read: () => Promise.reject(new Error('not used')),
-    onNews: () => {},
-    onPeer: () => {},
+    grantQuota: () => undefined,
+    readStore: () => Promise.reject(new Error('not used')),
+    onAnnouncement: () => {},
+    onPeerContact: () => {},
   });
   const port = await server.listen('127.0.0.1', 0);
   return new RemoteOwner(`127.0.0.1:${port}`, {
--- a/src/peer/peerServer.ts
+++ b/src/peer/peerServer.ts
@@ -7,20 +7,20 @@
 import { type BodyReceiver, createBodyReceiver } from './bodyReceiver.js';
 import { listenOn } from './listenOn.js';
 import {
-  type ConnectionTraits,
+  type ConnectionOptions,
   createPeerConnection,
   inlineBytes,
   type PeerConnection,
 } from './peerConnection.js';
 import {
-  type AskMessage,
+  type AnnouncementMessage,
   MessageKind,
-  type NewsMessage,
   type OfferMessage,
   type PeerMessage,
-  PeerQuestion,
+  PeerQuery,
   type PeerReport,
   type PeerSender,
+  type QueryMessage,
 } from './peerMessages.js';
 
 /** A body up to this size, in bytes, is read whole before the back end gets it. */
@@ -41,17 +41,17 @@
   /** What tenants have used here of late, as bytes. */
   readonly tenantUse: () => Buffer;
   /** Answers a node that reads the store by way of this one. */
-  readonly read: (question: StoreQuery) => Promise<Buffer>;
+  readonly readStore: (question: StoreQuery) => Promise<Buffer>;
   /** Answers a node that asks for requests of a tenant; undefined where no part of its quota is held. */
-  readonly grant: (
+  readonly grantQuota: (
     tenant: string,
     wanted: number,
   ) => { readonly granted: number; readonly dryMs: number } | undefined;
-  readonly traits?: ConnectionTraits;
+  readonly connectionOptions?: ConnectionOptions;
   /** Another node tells news. */
-  readonly onNews: (message: NewsMessage) => void;
+  readonly onAnnouncement: (message: AnnouncementMessage) => void;
   /** Called with whatever another node says of itself. */
-  readonly onPeer: (sender: PeerSender, report: PeerReport | undefined) => void;
+  readonly onPeerContact: (sender: PeerSender, report: PeerReport | undefined) => void;
 }
 
 /** One per node. */
@@ -61,7 +61,7 @@
 
   constructor(private readonly context: PeerServerContext) {
     this.server = net.createServer((socket) => {
-      const connection = createPeerConnection(socket, this.context.traits);
+      const connection = createPeerConnection(socket, this.context.connectionOptions);
       this.connections.add(connection);
       socket.on('close', () => this.connections.delete(connection));
       serveConnection(connection, this.context);
@@ -82,33 +82,33 @@
 
 function serveConnection(connection: PeerConnection, context: PeerServerContext): void {
   let exchange: TaskExchange | undefined;
-  connection.listen({
+  connection.setListener({
     onMessage: (message) => {
       switch (message.kind) {
         case MessageKind.Offer:
-          context.onPeer(message.sender, undefined);
+          context.onPeerContact(message.sender, undefined);
           exchange = new TaskExchange(connection, message, context);
           void exchange.run();
           return;
         case MessageKind.Ask:
-          context.onPeer(message.sender, message.report);
+          context.onPeerContact(message.sender, message.report);
           connection.send(tell(message, context));
           return;
         case MessageKind.Read:
-          context.onPeer(message.sender, undefined);
-          void context.read(message.question).then((bytes) => {
+          context.onPeerContact(message.sender, undefined);
+          void context.readStore(message.question).then((bytes) => {
             connection.send({ kind: MessageKind.ReadResult, bytes });
           });
           return;
         case MessageKind.QuotaAsk:
-          context.onPeer(message.sender, undefined);
+          context.onPeerContact(message.sender, undefined);
           connection.send({
             kind: MessageKind.QuotaGranted,
-            ...(context.grant(message.tenant, message.wanted) ?? NO_PART),
+            ...(context.grantQuota(message.tenant, message.wanted) ?? NO_PART),
           });
           return;
         case MessageKind.News:
-          context.onNews(message);
+          context.onAnnouncement(message);
           connection.send({ kind: MessageKind.Pong });
           return;
         case MessageKind.Ping:
@@ -127,17 +127,17 @@
   });
 }
 
-function tell({ question }: AskMessage, context: PeerServerContext): PeerMessage {
+function tell({ question }: QueryMessage, context: PeerServerContext): PeerMessage {
   return { kind: MessageKind.Told, report: context.report(), bytes: bytesFor(question, context) };
 }
 
-function bytesFor(question: PeerQuestion, context: PeerServerContext): Buffer | undefined {
+function bytesFor(question: PeerQuery, context: PeerServerContext): Buffer | undefined {
   switch (question) {
-    case PeerQuestion.Configuration:
+    case PeerQuery.Configuration:
       return context.configuration();
-    case PeerQuestion.Directory:
+    case PeerQuery.Directory:
       return context.directory();
-    case PeerQuestion.TenantUse:
+    case PeerQuery.TenantUse:
       return context.tenantUse();
     default:
       return undefined;
@@ -175,7 +175,7 @@
   }
 
   onClose(): void {
-    this.receiver?.breakOff();
+    this.receiver?.abort();
     if (!this.hasEnded) {
       this.cancellation.cancel();
     }
--- a/src/peer/peerReads.test.ts
+++ b/src/peer/pooledPeerClient.test.ts
@@ -3,17 +3,17 @@
 import { type OpenConnections, trackOpenConnections } from '../../lab/openConnections.js';
 import { createPeerConnection } from './peerConnection.js';
 import { MessageKind } from './peerMessages.js';
-import { createPeerReads, type PeerReads } from './peerReads.js';
+import { createPooledPeerClient, type PooledPeerClient } from './pooledPeerClient.js';
 
 const QUESTION = { kind: 'nodes', revision: 1, waitMs: 0 };
 const TIMEOUT_MS = 200;
 
 const servers: net.Server[] = [];
-let reads: PeerReads;
+let reads: PooledPeerClient;
 let connections: OpenConnections;
 
 afterEach(() => {
-  reads.close();
+  reads.closeIdle();
   connections.stop();
   for (const server of servers.splice(0)) {
     server.close();
@@ -24,7 +24,7 @@
 async function startNode(): Promise<string> {
   const server = net.createServer((socket) => {
     const connection = createPeerConnection(socket);
-    connection.listen({
+    connection.setListener({
       onMessage: () =>
         connection.send({ kind: MessageKind.ReadResult, bytes: Buffer.from('told') }),
       onClose: () => {},
@@ -37,7 +37,7 @@
 
 it('one read that is met with silence costs no other read a connection that rested meanwhile', async () => {
   connections = trackOpenConnections();
-  reads = createPeerReads(() => ({ address: '127.0.0.1:1', version: 1 }));
+  reads = createPooledPeerClient(() => ({ address: '127.0.0.1:1', version: 1 }));
   const [first, second] = await Promise.all([startNode(), startNode()]);
   const readAll = (address: string) =>
     Promise.all([1, 2, 3].map(() => reads.read(address, QUESTION, TIMEOUT_MS)));
--- a/src/peer/remoteOwner.test.ts
+++ b/src/peer/remoteOwner.test.ts
@@ -40,7 +40,7 @@
     sockets.push(socket);
     connections += 1;
     const connection = createPeerConnection(socket);
-    connection.listen({
+    connection.setListener({
       onMessage: (message) => {
         received.push(message);
         reply(message, connection);
--- a/src/peer/remoteOwner.ts
+++ b/src/peer/remoteOwner.ts
@@ -1,9 +1,9 @@
 /** An owner on another node, reached over the network. */
 import type { Owner, OwnerOutcome, OwnerTask } from '../owner/owner.js';
-import { createPeerConnections } from './peerConnections.js';
+import { createAdaptiveTimeout } from './adaptiveTimeout.js';
+import { createPeerConnectionPool } from './peerConnectionPool.js';
 import type { PeerState, RemoteOwnerContext } from './peerState.js';
 import { RemoteRun } from './remoteRun.js';
-import { createSilenceLimit } from './silenceLimit.js';
 
 /** One for each other node. */
 export class RemoteOwner implements Owner {
@@ -15,9 +15,9 @@
     private readonly context: RemoteOwnerContext,
   ) {
     this.peer = {
-      connections: createPeerConnections(address, context.traits),
-      silence: createSilenceLimit(),
-      heardAt: Number.NEGATIVE_INFINITY,
+      pool: createPeerConnectionPool(address, context.connectionOptions),
+      replyTimeout: createAdaptiveTimeout(),
+      lastReceivedAt: Number.NEGATIVE_INFINITY,
     };
   }
 
@@ -26,6 +26,6 @@
   }
 
   close(): void {
-    this.peer.connections.close();
+    this.peer.pool.closeIdle();
   }
 }
--- a/src/peer/remoteRun.ts
+++ b/src/peer/remoteRun.ts
@@ -3,7 +3,7 @@
 import type { OwnerOutcome, OwnerTask, OwnerUnknown } from '../owner/owner.js';
 import { createRejection } from '../owner/owner.js';
 import { type BodyReceiver, createBodyReceiver } from './bodyReceiver.js';
-import { createOwnerPatience, type OwnerPatience } from './ownerPatience.js';
+import { createLivenessTimer, type LivenessTimer } from './livenessTimer.js';
 import { inlineBytes, type PeerConnection } from './peerConnection.js';
 import { type AnswerMessage, MessageKind, type PeerMessage, taskFieldsOf } from './peerMessages.js';
 import type { PeerState, RemoteOwnerContext } from './peerState.js';
@@ -35,7 +35,7 @@
   /** True from the owner's admission until the last chunk of the request's body is sent. */
   private owesBody = false;
   private answer: { readonly message: AnswerMessage; readonly receiver: BodyReceiver } | undefined;
-  private readonly patience: OwnerPatience;
+  private readonly patience: LivenessTimer;
   private readonly connection: PeerConnection;
   private forget: () => void = () => {};
   private resolve: (outcome: OwnerOutcome) => void = () => {};
@@ -45,21 +45,21 @@
     private readonly peer: PeerState,
     private readonly context: RemoteOwnerContext,
   ) {
-    this.connection = peer.connections.take();
-    this.patience = createOwnerPatience({
+    this.connection = peer.pool.acquire();
+    this.patience = createLivenessTimer({
       clock: context.clock,
       peer,
-      isOffered: () => this.stage === Stage.Offered,
+      isOfferPending: () => this.stage === Stage.Offered,
       ping: () => this.ping(),
       onReply: context.onReply,
-      onSilence: (isHeardOf) => this.onSilence(isHeardOf),
+      onTimeout: (isHeardOf) => this.onSilence(isHeardOf),
     });
   }
 
   run(): Promise<OwnerOutcome> {
     return new Promise((resolve) => {
       this.resolve = resolve;
-      this.connection.listen({
+      this.connection.setListener({
         onMessage: (message) => this.onMessage(message),
         onClose: () => this.onClose(),
       });
@@ -72,7 +72,7 @@
     const { clock, sender } = this.context;
     const now = clock.now();
     const body = this.bodyToSendAtOnce(now);
-    this.patience.begin();
+    this.patience.start();
     this.connection.send({
       kind: MessageKind.Offer,
       sender: sender(),
@@ -90,12 +90,12 @@
 
   private bodyToSendAtOnce(now: number): Buffer | undefined {
     const { repeatable, bufferedBody } = this.task;
-    const isFresh = now - this.peer.heardAt < FRESH_MS;
+    const isFresh = now - this.peer.lastReceivedAt < FRESH_MS;
     return repeatable && bufferedBody && isFresh ? inlineBytes(bufferedBody) : undefined;
   }
 
   private onMessage(message: PeerMessage): void {
-    this.patience.noteHeard();
+    this.patience.noteReceived();
     switch (message.kind) {
       case MessageKind.Queued:
         this.stage = this.stage === Stage.Offered ? Stage.Queued : this.stage;
@@ -171,7 +171,7 @@
   }
 
   private onClose(): void {
-    this.answer?.receiver.breakOff();
+    this.answer?.receiver.abort();
     if (this.settled) {
       return;
     }
@@ -181,7 +181,7 @@
 
   /** Nothing reaches an owner before the connection stands. */
   private get mayHaveRun(): boolean {
-    return this.stage === Stage.Committed && this.connection.hasStood;
+    return this.stage === Stage.Committed && this.connection.wasEstablished;
   }
 
   private onCancel(): void {
@@ -206,7 +206,7 @@
     if (!isHeardOf) {
       this.context.onFailure('silent');
       // Connections may go silent for good while new ones work: those that are kept are as old.
-      this.peer.connections.close();
+      this.peer.pool.closeIdle();
     }
     if (this.mayHaveRun) {
       this.task.onProgress('silent');
@@ -221,7 +221,7 @@
     if (this.owesBody) {
       this.connection.destroy();
     } else {
-      this.peer.connections.give(this.connection);
+      this.peer.pool.release(this.connection);
     }
   }
 
--- a/src/peer/reportCodec.ts
+++ b/src/peer/reportCodec.ts
@@ -10,7 +10,7 @@
 const PERCENT = 100;
 
 /** Renders a report as a list. */
-export function listOfReport(report: PeerReport): unknown[] {
+export function encodeReport(report: PeerReport): unknown[] {
   return [
     report.service,
     report.ready,
@@ -28,7 +28,7 @@
 }
 
 /** Reads a list; undefined when it holds no report. */
-export function readReport(value: unknown): PeerReport | undefined {
+export function decodeReport(value: unknown): PeerReport | undefined {
   if (!Array.isArray(value)) {
     return undefined;
   }
--- a/src/peer/taskCodec.ts
+++ b/src/peer/taskCodec.ts
@@ -4,7 +4,7 @@
 import type { TaskFields } from './peerMessages.js';
 
 /** Renders the fields as a list. */
-export function listOfTask(task: TaskFields): unknown[] {
+export function encodeTask(task: TaskFields): unknown[] {
   return [
     task.service,
     task.route,
@@ -22,7 +22,7 @@
 }
 
 /** Reads a list; undefined when it holds no task. */
-export function readTask(value: unknown): TaskFields | undefined {
+export function decodeTask(value: unknown): TaskFields | undefined {
   if (!Array.isArray(value)) {
     return undefined;
   }
--- a/src/sidecar/ownerEntries.ts
+++ b/src/sidecar/ownerEntries.ts
@@ -3,7 +3,7 @@
 import { OwnerEntry, type OwnerRecord } from '../directory/owner-entry.js';
 import type { Clock } from '../model/clock.js';
 import type { LocalOwner } from '../owner/local-owner.js';
-import { bulkWindowOf } from '../peer/bodySender.js';
+import { sendWindowOf } from '../peer/bodySender.js';
 import type { SentObserver } from '../peer/peerConnection.js';
 import type { PeerReport, PeerSender } from '../peer/peerMessages.js';
 import { RemoteOwner } from '../peer/remoteOwner.js';
@@ -35,7 +35,7 @@
     const remote = new RemoteOwner(known.address, {
       clock,
       sender,
-      traits: { onSent, window: bulkWindowOf(settings().linkMbps, known.linkMbps) },
+      connectionOptions: { onSent, window: sendWindowOf(settings().linkMbps, known.linkMbps) },
       onReply,
       onReport: (told) => {
         entry.noteReport(told, clock.now());
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -2,7 +2,7 @@
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import { createQuotaMembers } from '../directory/quotaMembers.js';
 import type { Clock } from '../model/clock.js';
-import type { PeerReads } from '../peer/peerReads.js';
+import type { PooledPeerClient } from '../peer/pooledPeerClient.js';
 import type { RouteMatcher } from '../routing/route-matcher.js';
 import { createQuotaGate, type QuotaGate } from '../tenants/quotaGate.js';
 import { GRANT_LIFETIME_MS, type QuotaMember } from '../tenants/quotaParts.js';
@@ -17,7 +17,7 @@
   readonly settings: () => SidecarSettings;
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
-  readonly reads: PeerReads;
+  readonly reads: PooledPeerClient;
   readonly routes: () => RouteMatcher | undefined;
   /** True once the other nodes are known: a node that knew itself alone would hold whole limits. */
   readonly isListed: () => boolean;
@@ -79,7 +79,7 @@
   ): Promise<QuotaGrant | undefined> => {
     const entry = directory.all().find(({ record }) => record.node === holder.node);
     return entry && entry.absence !== 'silent'
-      ? reads.askQuota(entry.record.address, { tenant, wanted }, GRANT_LIFETIME_MS)
+      ? reads.requestQuota(entry.record.address, { tenant, wanted }, GRANT_LIFETIME_MS)
       : Promise.resolve(undefined);
   };
 
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -4,7 +4,7 @@
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { createRolloutSync, type RolloutSync } from '../directory/rolloutSync.js';
 import type { LocalOwner } from '../owner/local-owner.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
+import type { PeerClient } from '../peer/peerClient.js';
 import type { ZoneRelay } from '../relay/zoneRelay.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
 import { createVersionSelector, type VersionSelector } from '../rollout/versionSelector.js';
@@ -16,7 +16,7 @@
   readonly relay: ZoneRelay;
   readonly directory: OwnerDirectory;
   readonly broadcast: NewsBroadcast;
-  readonly caller: PeerCaller;
+  readonly caller: PeerClient;
   readonly owner: LocalOwner;
   readonly record: () => OwnerRecord;
   /** Nodes that share the slack; infinite while they are not known. */
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -179,7 +179,7 @@
     for (const entry of directory.all()) {
       entry.close();
     }
-    reads.close();
+    reads.closeIdle();
     relay.stop();
     configuration.stop();
     void sync.stop(false);
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -16,11 +16,11 @@
 import { SharedRetryBudget } from '../ingress/shared-retry-budget.js';
 import { createSuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { LocalOwner } from '../owner/local-owner.js';
-import { bulkWindowOf } from '../peer/bodySender.js';
-import { PeerCaller } from '../peer/peerCaller.js';
+import { sendWindowOf } from '../peer/bodySender.js';
+import { PeerClient } from '../peer/peerClient.js';
 import { MessageKind, type PeerReport, type PeerSender } from '../peer/peerMessages.js';
-import { createPeerReads, type PeerReads } from '../peer/peerReads.js';
 import { PeerServer } from '../peer/peerServer.js';
+import { createPooledPeerClient, type PooledPeerClient } from '../peer/pooledPeerClient.js';
 import { type CrashTracker, createCrashTracker } from '../quarantine/crashTracker.js';
 import type { BackEnd } from '../registry/back-end-registry.js';
 import type { ZoneRelay } from '../relay/zoneRelay.js';
@@ -49,7 +49,7 @@
   readonly configuration: ConfigurationFollower;
   readonly ingress: IngressServer;
   readonly peers: PeerServer;
-  readonly reads: PeerReads;
+  readonly reads: PooledPeerClient;
   readonly relay: ZoneRelay;
   readonly load: LoadLine;
   readonly noteUnreadable: NoteUnreadable;
@@ -126,11 +126,11 @@
   const directory = new OwnerDirectory(zone, entryOf, Math.random, settings().linkMbps);
   directory.put(record());
 
-  const reads = createPeerReads(sender, onSent);
+  const reads = createPooledPeerClient(sender, onSent);
   const relay = createRelayPart({ ...context, load, directory, reads, record });
   outside.store.onEra = relay.noteEra;
 
-  const caller = new PeerCaller(sender, report, onSent);
+  const caller = new PeerClient(sender, report, onSent);
   const broadcast = createNewsBroadcast({ directory, caller, own: record });
   const sync = new DirectorySync({
     clock,
@@ -223,14 +223,14 @@
     clock,
     owner,
     report,
-    traits: { onSent, window: bulkWindowOf(settings().linkMbps) },
+    connectionOptions: { onSent, window: sendWindowOf(settings().linkMbps) },
     configuration: () => configuration.bytes(),
     directory: () => sync.bytes(),
     tenantUse: tenantUse.serialize,
-    read: (question) => relay.answer(question),
-    grant: quotas.grant,
-    onNews: broadcast.take,
-    onPeer: (from, told) => {
+    readStore: (question) => relay.answer(question),
+    grantQuota: quotas.grant,
+    onAnnouncement: broadcast.take,
+    onPeerContact: (from, told) => {
       sync.notePeer(from, told);
       configuration.noteVersion(from.address, from.version);
     },
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -4,8 +4,8 @@
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { rankNames } from '../model/rendezvous.js';
-import type { PeerCaller } from '../peer/peerCaller.js';
-import type { PeerReads } from '../peer/peerReads.js';
+import type { PeerClient } from '../peer/peerClient.js';
+import type { PooledPeerClient } from '../peer/pooledPeerClient.js';
 import { createZoneRelay, type ZoneRelay } from '../relay/zoneRelay.js';
 import { ConfigurationFollower, type PeerVersion } from '../source/configuration-follower.js';
 import { createDependencyLoader } from '../source/dependencyLoader.js';
@@ -27,7 +27,7 @@
 export interface RelayPartContext extends SidecarPartsContext {
   readonly load: LoadLine;
   readonly directory: OwnerDirectory;
-  readonly reads: PeerReads;
+  readonly reads: PooledPeerClient;
   readonly record: () => OwnerRecord;
 }
 
@@ -59,7 +59,7 @@
 export interface ConfigurationPartContext extends SidecarPartsContext {
   readonly relay: ZoneRelay;
   readonly directory: OwnerDirectory;
-  readonly caller: PeerCaller;
+  readonly caller: PeerClient;
   readonly onConnected: (connected: boolean, detail: string, cause?: string) => void;
 }
 
