--- a/src/owner/callRouteDetector.test.ts
+++ b/src/owner/callRouteDetector.test.ts
@@ -23,7 +23,7 @@
   }
 }
 
-describe('createCalledRoutes', () => {
+describe('createCallRouteDetector', () => {
   it('tells a route that begins beside back ends of one service from those of clients', () => {
     const routes = createCallRouteDetector();
     sendFromAll(routes, 'order-place', 200);
--- a/src/owner/callScheduler.ts
+++ b/src/owner/callScheduler.ts
@@ -25,7 +25,7 @@
 
 /** What a turn is told by. */
 export interface SchedulingRequest {
-  /** See `priorityOf`: 0 is the most urgent; a multiple of 1 / PRIORITIES. */
+  /** See `priorityOf`: 0 is the most urgent; a multiple of 1 / PRIORITY_COUNT. */
   readonly priority: number;
   /** True if a running back end waits for the answer. */
   readonly isCall?: boolean;
@@ -64,7 +64,7 @@
 }
 
 /**
- * Place in the queue; smaller goes first. Priorities are 1 / PRIORITIES apart: scaled to whole steps,
+ * Place in the queue; smaller goes first. Priorities are 1 / PRIORITY_COUNT apart: scaled to whole steps,
  * they leave room for a call and a client in each.
  */
 export function rankOf({
