--- a/lab/relayFleet.ts
+++ b/lab/relayFleet.ts
@@ -3,7 +3,7 @@
  * and followers, with their messages as bytes, over modelled links. For tests and experiments.
  */
 import { monotonicClock as clock } from '../src/model/clock.js';
-import { type ZoneNode, zonePartOf } from '../src/relay/zoneReaders.js';
+import { assignZoneRole, type ZoneNode } from '../src/relay/zoneReaders.js';
 import { createZoneRelay, type ZoneRelay } from '../src/relay/zoneRelay.js';
 import { ConfigurationFollower } from '../src/source/configuration-follower.js';
 import type { ObjectStore, StoreResult } from '../src/source/object-store.js';
@@ -82,10 +82,10 @@
   const relay = createZoneRelay({
     clock,
     store: overLink(view, incoming),
-    record: { kind: 'nodes', name: node.node },
-    hurriedKind: CONFIGURATION_KIND,
+    ownRecord: { kind: 'nodes', name: node.node },
+    configurationKind: CONFIGURATION_KIND,
     applyMs: FLEET_APPLY_MS,
-    zonePart: () => zonePartOf(node, members),
+    zoneAssignment: () => assignZoneRole(node, members),
     readPeer: async (address, question) => {
       const other = nodes.get(address) as FleetNode;
       const bytes = await other.relay.answer(question);
@@ -93,10 +93,10 @@
       await incoming.carry(bytes.length);
       return bytes;
     },
-    onReader: () => {},
-    onReach: () => {},
-    onEraRise: () => {},
-    onUntold: () => {},
+    onReaderChange: () => {},
+    onReachabilityChange: () => {},
+    onEraChange: () => {},
+    onMissedChanges: () => {},
   });
   const follower = new ConfigurationFollower({
     clock,
@@ -105,7 +105,7 @@
     kind: CONFIGURATION_KIND,
     name: CONFIGURATION_NAME,
     applyDeadlineMs: FLEET_APPLY_MS,
-    debounceMs: () => relay.settleMs(),
+    debounceMs: () => relay.debounceMs(),
     decode: labOutside(view).decodeConfiguration,
     decodeBytes: () => undefined,
     fetchFromPeer: async () => undefined,
--- a/src/relay/ownWatches.test.ts
+++ b/src/relay/directWatches.test.ts
@@ -6,7 +6,7 @@
   StoreResult,
 } from '../source/object-store.js';
 import { revisionOf } from '../source/storeRevision.js';
-import { createOwnWatches } from './ownWatches.js';
+import { createDirectWatches } from './directWatches.js';
 
 const KIND = 'configuration';
 
@@ -42,11 +42,11 @@
       return Promise.resolve(result as StoreResult<StoreChanges<unknown>>);
     },
   } as unknown as ObjectStore;
-  const watches = createOwnWatches({
+  const watches = createDirectWatches({
     store,
-    toldRevision: (kind) => told.get(kind),
-    onNothingMissed: (kind, _from, revision) => told.set(kind, revision),
-    onSilent: (kind) => silentKinds.push(kind),
+    knownRevision: (kind) => told.get(kind),
+    onNoMissedChanges: (kind, _from, revision) => told.set(kind, revision),
+    onMissedChanges: (kind) => silentKinds.push(kind),
   });
   return {
     watches,
@@ -66,10 +66,10 @@
   it('is answered by a second question once it has not told at two looks, and is ended', async () => {
     const node = onSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
     await settle();
     expect(node.shortCalls()).toBe(0);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
     expect(await watch).toMatchObject({ ok: true, value: { revision: 6, events: [CHANGE] } });
     expect(node.silentKinds).toEqual([KIND]);
     expect(node.longCalls[0]?.signal?.aborted).toBe(true);
@@ -79,8 +79,8 @@
     const node = onSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
     node.told.set('nodes', 8);
-    node.watches.noteSeen(8);
-    node.watches.noteSeen(8);
+    node.watches.noteRevision(8);
+    node.watches.noteRevision(8);
     expect((await watch)?.ok).toBe(true);
   });
 
@@ -88,8 +88,8 @@
     const node = onSilentConnection({ events: [CHANGE], revision: 6 });
     for (let round = 0; round < 3; round += 1) {
       const watch = node.watches.watch(KIND, 3, 10_000);
-      node.watches.noteSeen(6);
-      node.watches.noteSeen(6);
+      node.watches.noteRevision(6);
+      node.watches.noteRevision(6);
       expect((await watch)?.ok).toBe(true);
     }
   });
@@ -98,7 +98,7 @@
     const node = onSilentConnection(undefined);
     void node.watches.watch(KIND, 3, 10_000);
     for (let look = 0; look < 4; look += 1) {
-      node.watches.noteSeen(6);
+      node.watches.noteRevision(6);
       await settle();
     }
     expect(node.shortCalls()).toBe(3);
@@ -107,8 +107,8 @@
   it('is asked about on a connection that did not rest beside it', async () => {
     const node = onSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
-    node.watches.noteSeen(6);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
+    node.watches.noteRevision(6);
     await watch;
     // Closed before the first question.
     expect(node.closedAt()[0]).toBe(0);
@@ -117,15 +117,15 @@
   it('is told that the history is gone, so that a list follows', async () => {
     const node = onSilentConnection(undefined, 'history-gone');
     const watch = node.watches.watch(KIND, 3, 10_000);
-    node.watches.noteSeen(6);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
+    node.watches.noteRevision(6);
     expect(await watch).toMatchObject({ ok: false, failure: 'history-gone' });
   }, 2_000);
 
   it('is ended with all others, as failed, when the store is in doubt', async () => {
     const node = onSilentConnection(undefined);
     const all = [node.watches.watch(KIND, 3, 10_000), node.watches.watch('nodes', 3, 10_000)];
-    node.watches.abandon();
+    node.watches.failAll();
     for (const watch of all) {
       expect(await watch).toMatchObject({ ok: false, failure: 'unknown' });
     }
@@ -138,7 +138,7 @@
     const node = onSilentConnection(NOTHING);
     void node.watches.watch(KIND, 3, 10_000);
     for (let look = 0; look < 6; look += 1) {
-      node.watches.noteSeen(9);
+      node.watches.noteRevision(9);
       await settle();
     }
     expect(node.shortCalls()).toBe(1);
@@ -149,9 +149,9 @@
   it('costs none when it tells between two looks', async () => {
     const node = onSilentConnection(NOTHING);
     void node.watches.watch(KIND, 3, 10_000);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
     node.told.set(KIND, 6);
-    node.watches.noteSeen(6);
+    node.watches.noteRevision(6);
     await settle();
     expect(node.shortCalls()).toBe(0);
   });
--- a/src/relay/ownWatches.ts
+++ b/src/relay/directWatches.ts
@@ -12,17 +12,17 @@
 export const CATCH_UP_WAIT_MS = 1;
 
 /** What is needed of the node. */
-export interface OwnWatchesContext {
+export interface DirectWatchesContext {
   readonly store: ObjectStore;
   /** Newest revision up to which all changes of a kind are known here. */
-  readonly toldRevision: (kind: string) => number | undefined;
+  readonly knownRevision: (kind: string) => number | undefined;
   /** The changes of a kind after `from` are known here up to `revision`: there were none. */
-  readonly onNothingMissed: (kind: string, from: number, revision: number) => void;
+  readonly onNoMissedChanges: (kind: string, from: number, revision: number) => void;
   /** A watch was silent although there were changes. */
-  readonly onSilent: (kind: string, revision: number) => void;
+  readonly onMissedChanges: (kind: string, revision: number) => void;
 }
 
-export interface OwnWatches {
+export interface DirectWatches {
   /** Resolves with undefined if it was released. */
   watch<Spec>(
     kind: string,
@@ -30,13 +30,13 @@
     waitMs: number,
   ): Promise<StoreResult<StoreChanges<Spec>> | undefined>;
   /** Ends those that wait, without an answer: a reader of the zone is asked from now on. */
-  release(): void;
+  releaseAll(): void;
   /** Ends those that wait, as failed: they were sent on connections, or to a store, now in doubt. */
-  abandon(): void;
+  failAll(): void;
   /** The store has come back from a copy: ends those that wait from an earlier era, as with their history gone. */
   noteEra(era: number): void;
   /** The store is at this revision. */
-  noteSeen(revision: number): void;
+  noteRevision(revision: number): void;
 }
 
 interface Waiting {
@@ -55,8 +55,8 @@
   detail: 'the store has come back from a copy',
 };
 
-export function createOwnWatches(context: OwnWatchesContext): OwnWatches {
-  const { store, toldRevision, onNothingMissed, onSilent } = context;
+export function createDirectWatches(context: DirectWatchesContext): DirectWatches {
+  const { store, knownRevision, onNoMissedChanges, onMissedChanges } = context;
   const waiting = new Map<string, Waiting>();
 
   const settleAll = (result: StoreError | undefined): void => {
@@ -84,10 +84,10 @@
     watch.untold = undefined;
     const { events, revision } = result.value;
     if (events.length === 0) {
-      onNothingMissed(kind, watch.revision, revision);
+      onNoMissedChanges(kind, watch.revision, revision);
       return;
     }
-    onSilent(kind, revision);
+    onMissedChanges(kind, revision);
     watch.settle(result);
   };
 
@@ -110,16 +110,16 @@
         waiting.set(kind, watch);
         void store.watch<never>(kind, revision, waitMs, controller.signal).then(watch.settle);
       }),
-    release: () => settleAll(undefined),
-    abandon: () => settleAll(ABANDONED),
+    releaseAll: () => settleAll(undefined),
+    failAll: () => settleAll(ABANDONED),
     noteEra: (era) => {
       for (const watch of [...waiting.values()].filter(({ revision }) => eraOf(revision) < era)) {
         watch.settle(HISTORY_GONE);
       }
     },
-    noteSeen: (seen) => {
+    noteRevision: (seen) => {
       for (const [kind, watch] of waiting) {
-        const told = Math.max(watch.revision, toldRevision(kind) ?? 0);
+        const told = Math.max(watch.revision, knownRevision(kind) ?? 0);
         if (watch.untold !== undefined && watch.untold > told && !watch.isChecked) {
           void check(kind, watch);
         } else if (seen > told) {
--- a/src/relay/readerQuestions.ts
+++ b/src/relay/readerClient.ts
@@ -5,7 +5,7 @@
 import type { Clock } from '../model/clock.js';
 import type { StoreChanges, StoreQuery, StoreResult } from '../source/object-store.js';
 import type { StoreCache } from './storeCache.js';
-import type { ZoneNode, ZonePart } from './zoneReaders.js';
+import type { ZoneAssignment, ZoneNode } from './zoneReaders.js';
 
 /** A reader that did not answer is not asked again for so long, in milliseconds. */
 const SILENT_REST_MS = 5_000;
@@ -28,18 +28,18 @@
 export type ReaderAnswer = StoreResult<StoreChanges<unknown>> | undefined;
 
 /** What is needed of the node. */
-export interface ReaderQuestionsContext {
+export interface ReaderClientContext {
   readonly clock: Clock;
-  readonly cache: Pick<StoreCache, 'onlyRevision'>;
+  readonly cache: Pick<StoreCache, 'singleObjectRevision'>;
   /** Kind of the records by which nodes find one another. */
   readonly nodeKind: string;
   /** Kind of the objects that are to be in force in time everywhere. */
-  readonly hurriedKind: string;
+  readonly configurationKind: string;
   /** Milliseconds for which a follower's watch waits. */
-  readonly paceMs: number;
+  readonly longPollMs: number;
   /** Milliseconds beyond the pace after which a reader counts as silent. */
-  readonly patienceMs: number;
-  readonly zonePart: () => ZonePart;
+  readonly responseTimeoutMs: number;
+  readonly zoneAssignment: () => ZoneAssignment;
   /** True while this node reads by itself, for others too. */
   readonly isReader: () => boolean;
   /** Asks a reader; undefined when it is silent. */
@@ -47,16 +47,16 @@
   /** A reader has spoken for the store. */
   readonly onAnswered: () => void;
   /** A reader was silent. */
-  readonly onSilent: () => void;
+  readonly onTimeout: () => void;
   /** The node now reads by way of another one (its name), or by itself, and why. */
-  readonly onReader: (reader: string | undefined, cause: string) => void;
+  readonly onReaderChange: (reader: string | undefined, cause: string) => void;
 }
 
-export interface ReaderQuestions {
+export interface ReaderClient {
   /** True while this node reads by way of another one. */
   readonly isFollowing: boolean;
   /** The reader of the own zone to ask now; undefined for a node that is to ask the store. */
-  readerToAsk(): ZoneNode | undefined;
+  selectReader(): ZoneNode | undefined;
   /** Asks a reader for all objects of a kind. */
   list(from: ZoneNode, kind: string): Promise<ReaderAnswer>;
   /**
@@ -65,37 +65,46 @@
    */
   watch(from: ZoneNode, kind: string, revision: number, waitMs: number): Promise<ReaderAnswer>;
   /** Asks another zone's reader: the store has not answered this node. */
-  askElsewhere(question: StoreQuery): Promise<ReaderAnswer>;
+  askOtherZone(question: StoreQuery): Promise<ReaderAnswer>;
   /** The node reads by itself now. */
-  noteOwn(cause: string): void;
+  noteDirect(cause: string): void;
 }
 
-export function createReaderQuestions(context: ReaderQuestionsContext): ReaderQuestions {
-  const { clock, cache, nodeKind, hurriedKind, paceMs, patienceMs, zonePart, isReader } = context;
+export function createReaderClient(context: ReaderClientContext): ReaderClient {
+  const {
+    clock,
+    cache,
+    nodeKind,
+    configurationKind,
+    longPollMs,
+    responseTimeoutMs,
+    zoneAssignment,
+    isReader,
+  } = context;
   const restingUntil = new Map<string, number>();
   let reader: string | undefined;
 
   const noteReader = (next: string | undefined, cause: string) => {
     if (next !== reader) {
       reader = next;
-      context.onReader(next, cause);
+      context.onReaderChange(next, cause);
     }
   };
   const isAwake = ({ address }: ZoneNode) => clock.now() >= (restingUntil.get(address) ?? 0);
 
   /** How long a follower's watch waits, in milliseconds: a silent reader is found out after that. */
   const longestWaitMs = (kind: string): number => {
-    if (kind === hurriedKind) {
-      return paceMs;
+    if (kind === configurationKind) {
+      return longPollMs;
     }
-    return kind === nodeKind ? paceMs * DIRECTORY_PACES : Number.POSITIVE_INFINITY;
+    return kind === nodeKind ? longPollMs * DIRECTORY_PACES : Number.POSITIVE_INFINITY;
   };
 
   /** Undefined when the reader is silent; as unavailable when it cannot speak for the store now. */
   const ask = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
     const isList = question.revision === undefined;
-    const timeoutMs = isList ? LIST_PATIENCE_MS : question.waitMs + patienceMs;
-    const base = cache.onlyRevision(question.kind);
+    const timeoutMs = isList ? LIST_PATIENCE_MS : question.waitMs + responseTimeoutMs;
+    const base = cache.singleObjectRevision(question.kind);
     const result = await context.ask(from.address, { ...question, base }, timeoutMs);
     if (spoken(result)) {
       noteReader(from.node, 'answered');
@@ -103,16 +112,16 @@
       return result;
     }
     if (!result) {
-      context.onSilent();
+      context.onTimeout();
     }
-    restingUntil.set(from.address, clock.now() + (result ? paceMs : SILENT_REST_MS));
+    restingUntil.set(from.address, clock.now() + (result ? longPollMs : SILENT_REST_MS));
     noteReader(undefined, `${from.node} ${result ? 'unavailable' : 'silent'}`);
     return result;
   };
 
   /** A reader that comes before this one in the node's order and does not rest. */
   const preferredTo = ({ address }: ZoneNode): ZoneNode | undefined => {
-    const { readers } = zonePart();
+    const { readers } = zoneAssignment();
     const place = readers.findIndex((each) => each.address === address);
     return readers.slice(0, Math.max(place, 0)).find(isAwake);
   };
@@ -127,7 +136,7 @@
   const watch = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
     const answer = await ask(from, question);
     const hasCeased = answer !== undefined && !spoken(answer);
-    if (!hasCeased || question.kind === hurriedKind || isReader()) {
+    if (!hasCeased || question.kind === configurationKind || isReader()) {
       return spoken(answer);
     }
     const preferred = preferredTo(from);
@@ -138,15 +147,15 @@
     get isFollowing() {
       return reader !== undefined;
     },
-    readerToAsk: () => (isReader() ? undefined : zonePart().readers.find(isAwake)),
+    selectReader: () => (isReader() ? undefined : zoneAssignment().readers.find(isAwake)),
     list: async (from, kind) => spoken(await ask(from, { kind, revision: undefined, waitMs: 0 })),
     watch: (from, kind, revision, waitMs) =>
       watch(from, { kind, revision, waitMs: Math.min(waitMs, longestWaitMs(kind)) }),
-    askElsewhere: async (question) => {
-      const from = zonePart().elsewhere().find(isAwake);
+    askOtherZone: async (question) => {
+      const from = zoneAssignment().otherZoneReaders().find(isAwake);
       return from && spoken(await ask(from, question));
     },
-    noteOwn: (cause) => noteReader(undefined, cause),
+    noteDirect: (cause) => noteReader(undefined, cause),
   };
 }
 
--- a/src/relay/relayedStore.test.ts
+++ b/src/relay/relayedStore.test.ts
@@ -1,10 +1,10 @@
 import { expect, it, vi } from 'vitest';
 import { MemoryStore, StoreView } from '../../lab/memory-store.js';
 import { ReadConsistency, type StoreQuery } from '../source/object-store.js';
-import { createOwnWatches } from './ownWatches.js';
+import { createDirectWatches } from './directWatches.js';
 import { createRelayedStore, type RelayedStoreContext } from './relayedStore.js';
 import { createStoreCache } from './storeCache.js';
-import { createStoreReach } from './storeReach.js';
+import { createStoreReachability } from './storeReachability.js';
 import { ZoneRole } from './zoneReaders.js';
 
 const READER = { node: 'reader', zone: 'a', address: '10.0.0.1:1' };
@@ -12,21 +12,23 @@
 const NODES = 'nodes';
 const PACE_MS = 100;
 
-type Parts = Pick<RelayedStoreContext, 'zonePart' | 'ask'> & { readonly patienceMs?: number };
+type Parts = Pick<RelayedStoreContext, 'zoneAssignment' | 'ask'> & {
+  readonly responseTimeoutMs?: number;
+};
 
 /** A node's store in parts, over a store with one configuration. */
-function nodeWith({ zonePart, ask, patienceMs = PACE_MS }: Parts) {
+function nodeWith({ zoneAssignment, ask, responseTimeoutMs = PACE_MS }: Parts) {
   const store = new MemoryStore();
   store.put(CONFIGURATION, 'current', { version: 1 });
   const view = new StoreView(store);
   const clock = { now: () => performance.now() };
-  const reach = createStoreReach({ clock, onChange: () => {} });
+  const reach = createStoreReachability({ clock, onChange: () => {} });
   const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: PACE_MS });
-  const watches = createOwnWatches({
+  const watches = createDirectWatches({
     store: view,
-    toldRevision: cache.revisionOf,
-    onNothingMissed: () => {},
-    onSilent: () => {},
+    knownRevision: cache.revisionOf,
+    onNoMissedChanges: () => {},
+    onMissedChanges: () => {},
   });
   const relayed = createRelayedStore({
     clock,
@@ -35,22 +37,26 @@
     reach,
     watches,
     nodeKind: NODES,
-    hurriedKind: CONFIGURATION,
-    paceMs: PACE_MS,
-    patienceMs,
-    zonePart,
+    configurationKind: CONFIGURATION,
+    longPollMs: PACE_MS,
+    responseTimeoutMs,
+    zoneAssignment,
     ask,
-    onReader: () => {},
+    onReaderChange: () => {},
   });
   return { relayed, view, reach, watches };
 }
 
 /** A follower's store whose reader never answers, and what the reader is asked. */
-function followerOfSilentReader(patienceMs = PACE_MS) {
+function followerOfSilentReader(responseTimeoutMs = PACE_MS) {
   const asked: { question: StoreQuery; timeoutMs: number }[] = [];
   const { relayed } = nodeWith({
-    patienceMs,
-    zonePart: () => ({ role: ZoneRole.Follower, readers: [READER], elsewhere: () => [] }),
+    responseTimeoutMs,
+    zoneAssignment: () => ({
+      role: ZoneRole.Follower,
+      readers: [READER],
+      otherZoneReaders: () => [],
+    }),
     ask: async (_address, question, timeoutMs) => {
       asked.push({ question, timeoutMs });
       await new Promise((resolve) => setTimeout(resolve, timeoutMs));
@@ -89,7 +95,7 @@
 /** A node of its zone alone; the reader of another zone answers with this revision, or not at all. */
 function aloneBeside(revisionElsewhere: number | undefined) {
   return nodeWith({
-    zonePart: () => ({ role: ZoneRole.Alone, readers: [], elsewhere: () => [READER] }),
+    zoneAssignment: () => ({ role: ZoneRole.Alone, readers: [], otherZoneReaders: () => [READER] }),
     ask: async () => {
       const isThere = revisionElsewhere !== undefined;
       return isThere ? { ok: true, value: { events: [], revision: revisionElsewhere } } : undefined;
@@ -101,22 +107,22 @@
   let role = ZoneRole.Reader;
   const asked: string[] = [];
   const { relayed, view } = nodeWith({
-    zonePart: () => ({ role, readers: [READER], elsewhere: () => [] }),
+    zoneAssignment: () => ({ role, readers: [READER], otherZoneReaders: () => [] }),
     ask: async (_address, { kind, revision = 0 }) => {
       asked.push(`${kind} ${revision}`);
       return { ok: true, value: { events: [], revision } };
     },
   });
   const early = relayed.watch('quarantines', 1, 10_000);
-  await vi.waitFor(() => expect(relayed.isAlone).toBe(true));
-  relayed.releaseOwn();
-  expect(relayed.isAlone).toBe(true);
+  await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
+  relayed.releaseDirectWatches();
+  expect(relayed.hasFallbackWatch).toBe(true);
   role = ZoneRole.Follower;
-  relayed.releaseOwn();
+  relayed.releaseDirectWatches();
   expect(await early).toEqual({ ok: true, value: { events: [], revision: 1 } });
   // Not taken for an answer of the store, nor for a node that reads by itself again.
   expect(relayed.answeredAt).toBe(Number.NEGATIVE_INFINITY);
-  expect(relayed.isAlone).toBe(false);
+  expect(relayed.hasFallbackWatch).toBe(false);
   await relayed.watch('quarantines', 1, 10_000);
   expect(asked).toEqual(['quarantines 1']);
   // The store counts a watch when it answers it.
@@ -127,16 +133,20 @@
   const { relayed } = followerOfSilentReader(1);
   await relayed.watch(CONFIGURATION, 1, 10_000);
   void relayed.watch(NODES, 1, 10_000);
-  await vi.waitFor(() => expect(relayed.isAlone).toBe(true));
-  relayed.releaseOwn();
-  expect(relayed.isAlone).toBe(true);
+  await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
+  relayed.releaseDirectWatches();
+  expect(relayed.hasFallbackWatch).toBe(true);
 });
 
 it('a follower whose reader cannot speak for the store asks the store at once, and the spare reader only next time', async () => {
   const spare = { node: 'spare', zone: 'a', address: '10.0.0.2:1' };
   const asked: string[] = [];
   const { relayed, view } = nodeWith({
-    zonePart: () => ({ role: ZoneRole.Follower, readers: [READER, spare], elsewhere: () => [] }),
+    zoneAssignment: () => ({
+      role: ZoneRole.Follower,
+      readers: [READER, spare],
+      otherZoneReaders: () => [],
+    }),
     ask: async (address) => {
       asked.push(address);
       return address === READER.address
@@ -160,7 +170,11 @@
   const spare = { node: 'spare', zone: 'a', address: '10.0.0.2:1' };
   const asked: string[] = [];
   const { relayed, view } = nodeWith({
-    zonePart: () => ({ role: ZoneRole.Follower, readers: [READER, spare], elsewhere: () => [] }),
+    zoneAssignment: () => ({
+      role: ZoneRole.Follower,
+      readers: [READER, spare],
+      otherZoneReaders: () => [],
+    }),
     ask: async (address, { kind, revision = 0 }) => {
       asked.push(`${address} ${kind}`);
       if (address === spare.address) {
@@ -196,7 +210,11 @@
 it('a follower’s own watch ends once its reader may be asked again', async () => {
   let isFresh = false;
   const { relayed } = nodeWith({
-    zonePart: () => ({ role: ZoneRole.Follower, readers: [READER], elsewhere: () => [] }),
+    zoneAssignment: () => ({
+      role: ZoneRole.Follower,
+      readers: [READER],
+      otherZoneReaders: () => [],
+    }),
     ask: async () =>
       isFresh
         ? { ok: true, value: { events: [], revision: 1 } }
@@ -204,16 +222,16 @@
   });
   await relayed.watch(CONFIGURATION, 1, 10_000);
   const own = relayed.watch('quarantines', 1, 10_000);
-  await vi.waitFor(() => expect(relayed.isAlone).toBe(true));
+  await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
   isFresh = true;
-  const looks = setInterval(() => relayed.releaseOwn(), PACE_MS / 4);
+  const looks = setInterval(() => relayed.releaseDirectWatches(), PACE_MS / 4);
   expect(await own).toEqual({ ok: true, value: { events: [], revision: 1 } });
   clearInterval(looks);
 }, 2_000);
 
 it('a watch is not sent to a store in doubt: another zone is asked, until a proof is answered', async () => {
   const { relayed, view, reach } = aloneBeside(7);
-  reach.noteSilence('a proof was not answered');
+  reach.noteTimeout('a proof was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ value: { revision: 7 } });
   expect(view.calls).toBe(0);
   reach.noteAnswered();
@@ -224,7 +242,7 @@
 
 it('a node whose watches another zone speaks for goes on proving its own reach', async () => {
   const { relayed, reach } = aloneBeside(7);
-  reach.noteSilence('a proof was not answered');
+  reach.noteTimeout('a proof was not answered');
   const watch = relayed.watch(CONFIGURATION, 1, 10_000);
   await new Promise((resolve) => setImmediate(resolve));
   expect((await watch).ok).toBe(true);
@@ -232,12 +250,12 @@
   reach.noteAnswered();
   void relayed.watch(CONFIGURATION, 1, PACE_MS);
   // Its own watch waits at the store now, whoever spoke for it last.
-  await vi.waitFor(() => expect(relayed.isAlone).toBe(true));
+  await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
 });
 
 it('a watch in doubt that nobody speaks for is sent as soon as the store answers, or fails', async () => {
   const { relayed, view, reach } = aloneBeside(undefined);
-  reach.noteSilence('a proof was not answered');
+  reach.noteTimeout('a proof was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ ok: false });
   expect(view.calls).toBe(0);
   const watch = relayed.watch(CONFIGURATION, 0, 10_000);
--- a/src/relay/relayedStore.ts
+++ b/src/relay/relayedStore.ts
@@ -13,25 +13,25 @@
   type StoreListing,
   type StoreResult,
 } from '../source/object-store.js';
-import { createAloneWatch } from './aloneWatch.js';
-import { CATCH_UP_WAIT_MS, type OwnWatches } from './ownWatches.js';
-import { createReaderQuestions, type ReaderQuestionsContext } from './readerQuestions.js';
+import { CATCH_UP_WAIT_MS, type DirectWatches } from './directWatches.js';
+import { createFallbackWatch } from './fallbackWatch.js';
+import { createReaderClient, type ReaderClientContext } from './readerClient.js';
 import type { StoreCache } from './storeCache.js';
-import type { StoreReach } from './storeReach.js';
+import type { StoreReachability } from './storeReachability.js';
+import { createZoneDiscoveryDelay } from './zoneDiscoveryDelay.js';
 import { ZoneRole } from './zoneReaders.js';
-import { createZoneWait } from './zoneWait.js';
 
 /** A node goes on reading for others so long after it was last asked, in milliseconds. */
 const ASKED_LIFETIME_MS = 5_000;
 
 /** What is needed of the node. */
 export interface RelayedStoreContext
-  extends Omit<ReaderQuestionsContext, 'isReader' | 'onAnswered' | 'onSilent'> {
+  extends Omit<ReaderClientContext, 'isReader' | 'onAnswered' | 'onTimeout'> {
   /** The store itself. */
   readonly store: ObjectStore;
   readonly cache: StoreCache;
-  readonly reach: StoreReach;
-  readonly watches: OwnWatches;
+  readonly reach: StoreReachability;
+  readonly watches: DirectWatches;
 }
 
 /** An object store that also tells the node's present way to it. */
@@ -41,28 +41,28 @@
   /** True while this node reads for others. */
   readonly isReader: boolean;
   /** True while others ask this node. */
-  readonly isAsked: boolean;
+  readonly hasFollowers: boolean;
   /** True while no reader of the own zone speaks for some watch of this node. */
-  readonly isAlone: boolean;
+  readonly hasFallbackWatch: boolean;
   /** Steady time in milliseconds at which the store itself last answered this node. */
   readonly answeredAt: number;
   /** Ends the node's own watches if a reader can be asked instead. */
-  releaseOwn(): void;
+  releaseDirectWatches(): void;
 }
 
 export function createRelayedStore(context: RelayedStoreContext): RelayedStore {
-  const { clock, store, cache, reach, watches, nodeKind, paceMs, zonePart } = context;
+  const { clock, store, cache, reach, watches, nodeKind, longPollMs, zoneAssignment } = context;
   /** Kinds whose reader no longer knows the changes since this node's revision. */
   const toList = new Set<string>();
 
-  const isAsked = () => clock.now() - cache.askedAt < ASKED_LIFETIME_MS;
-  const isReader = () => zonePart().role === ZoneRole.Reader || isAsked();
-  const readers = createReaderQuestions({
+  const isAsked = () => clock.now() - cache.lastReadAt < ASKED_LIFETIME_MS;
+  const isReader = () => zoneAssignment().role === ZoneRole.Reader || isAsked();
+  const readers = createReaderClient({
     ...context,
     isReader,
-    onAnswered: () => watches.release(),
+    onAnswered: () => watches.releaseAll(),
     // What silenced one connection of this node may have silenced those to the store.
-    onSilent: () => store.closeIdle(),
+    onTimeout: () => store.closeIdle(),
   });
 
   const watchStore = async <Spec>(
@@ -73,7 +73,7 @@
     const result = await watches.watch<Spec>(kind, revision, waitMs);
     if (!result?.ok) {
       if (result?.failure === 'history-gone') {
-        cache.noteDoubt(kind);
+        cache.markStale(kind);
       }
       return result;
     }
@@ -88,17 +88,17 @@
     const value = cache.noteList(kind, result.value, reading);
     if (value.revision < (cache.revisionOf(kind) ?? 0)) {
       // Its asker does not take it, so it proves nothing: nodes that were told so answered 404 for new routes.
-      cache.noteDoubt(kind);
+      cache.markStale(kind);
     } else {
       reach.noteAnswered();
     }
     return { ok: true, value } as const;
   };
 
-  const zoneKnown = createZoneWait({
+  const zoneKnown = createZoneDiscoveryDelay({
     clock,
     nodeKind,
-    isAlone: () => zonePart().role === ZoneRole.Alone,
+    isAlone: () => zoneAssignment().role === ZoneRole.Alone,
   });
 
   /** What a reader has answered is known here from now on. */
@@ -115,15 +115,15 @@
     return { ok: true, value: cache.noteChanges(kind, revision, changes) };
   };
 
-  const alone = createAloneWatch({
+  const alone = createFallbackWatch({
     reach,
-    paceMs,
+    longPollMs,
     watchStore,
-    watchElsewhere: async <Spec>(kind: string, revision: number, waitMs: number) => {
-      const answer = await readers.askElsewhere({ kind, revision, waitMs });
+    watchOtherZone: async <Spec>(kind: string, revision: number, waitMs: number) => {
+      const answer = await readers.askOtherZone({ kind, revision, waitMs });
       return answer && taken<Spec>(kind, revision, answer);
     },
-    onOwn: () => readers.noteOwn(zonePart().role),
+    onStoreAnswered: () => readers.noteDirect(zoneAssignment().role),
   });
 
   return {
@@ -133,11 +133,11 @@
     get isReader() {
       return isReader();
     },
-    get isAsked() {
+    get hasFollowers() {
       return isAsked();
     },
-    get isAlone() {
-      return alone.isWaiting;
+    get hasFallbackWatch() {
+      return alone.isActive;
     },
     get answeredAt() {
       return reach.answeredAt;
@@ -147,13 +147,13 @@
       reading: ReadConsistency,
     ): Promise<StoreResult<StoreListing<Spec>>> => {
       const mayAsk = toList.delete(kind) || reading === ReadConsistency.BoundedStaleness;
-      const from = mayAsk ? readers.readerToAsk() : undefined;
+      const from = mayAsk ? readers.selectReader() : undefined;
       let answer = from && (await readers.list(from, kind));
       if (!answer?.ok) {
         const result = await listStore<Spec>(kind, reading);
         answer = result.ok
           ? undefined
-          : await readers.askElsewhere({ kind, revision: undefined, waitMs: 0 });
+          : await readers.askOtherZone({ kind, revision: undefined, waitMs: 0 });
         if (!answer?.ok) {
           return result;
         }
@@ -168,7 +168,7 @@
       waitMs: number,
     ): Promise<StoreResult<StoreChanges<Spec>>> => {
       await zoneKnown(kind);
-      const from = readers.readerToAsk();
+      const from = readers.selectReader();
       if (!from) {
         return alone.watch<Spec>(kind, revision, waitMs);
       }
@@ -185,9 +185,9 @@
       reach.noteAnswered();
       return { ok: true, value: cache.noteObject(kind, result.value) };
     },
-    releaseOwn: () => {
-      if (readers.readerToAsk()) {
-        watches.release();
+    releaseDirectWatches: () => {
+      if (readers.selectReader()) {
+        watches.releaseAll();
       }
     },
     create: (kind, name, spec) => store.create(kind, name, spec),
--- a/src/relay/storeCache.test.ts
+++ b/src/relay/storeCache.test.ts
@@ -2,8 +2,8 @@
 import { ReadConsistency, type StoredObject } from '../source/object-store.js';
 import { mayBeLost, revisionOf } from '../source/storeRevision.js';
 import { createStoreCache } from './storeCache.js';
-import { createStoreReach } from './storeReach.js';
-import { packStoreResult, unpackStoreResult } from './storeResultCodec.js';
+import { createStoreReachability } from './storeReachability.js';
+import { decodeStoreResult, encodeStoreResult } from './storeResultCodec.js';
 
 const KIND = 'nodes';
 
@@ -13,7 +13,7 @@
 
 function cacheAt(now: { ms: number }) {
   const clock = { now: () => now.ms };
-  const reach = createStoreReach({ clock, onChange: () => {} });
+  const reach = createStoreReachability({ clock, onChange: () => {} });
   const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 100 });
   cache.noteList(KIND, { items: [object('a', 3), object('b', 4)], revision: 5 });
   reach.noteAnswered();
@@ -78,13 +78,13 @@
     }
     expect(cache.objectAt('main', 18)?.spec).toEqual([[1], [18]]);
     expect(cache.objectAt('main', 10)).toBeUndefined();
-    expect(cache.onlyRevision('main')).toBe(49);
-    expect(cache.onlyRevision(KIND)).toBeUndefined();
+    expect(cache.singleObjectRevision('main')).toBe(49);
+    expect(cache.singleObjectRevision(KIND)).toBeUndefined();
   });
 
   it('wakes who waits for a change, and who waits while it grows old', async () => {
     const clock = { now: () => performance.now() };
-    const reach = createStoreReach({ clock, onChange: () => {} });
+    const reach = createStoreReachability({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 150 });
     cache.noteList(KIND, { items: [], revision: 1 });
     reach.noteAnswered();
@@ -104,7 +104,7 @@
       };
       const events = [{ object: { name: 'main', revision: 7, spec }, gone: false }];
       const result = { ok: true, value: { events, revision: 9 } } as const;
-      expect(unpackStoreResult(packStoreResult(result))).toEqual(result);
+      expect(decodeStoreResult(encodeStoreResult(result))).toEqual(result);
     }
   });
 
@@ -114,18 +114,18 @@
     const spec = { version: 2, routes: [...routes, ['added', 'desk']] };
     const events = [{ object: { name: 'main', revision: 9, spec }, gone: false }];
     const result = { ok: true, value: { events, revision: 9 } } as const;
-    const bytes = packStoreResult(result, held);
+    const bytes = encodeStoreResult(result, held);
     expect(bytes.length).toBeLessThan(150);
     const objectAt = (revision: number) => (revision === 7 ? held : undefined);
-    expect(unpackStoreResult(bytes, objectAt)).toEqual(result);
-    expect(unpackStoreResult(bytes)).toBeUndefined();
+    expect(decodeStoreResult(bytes, objectAt)).toEqual(result);
+    expect(decodeStoreResult(bytes)).toBeUndefined();
     const other = { ...held, spec: { ...held.spec, routes: routes.slice(1) } };
-    expect(unpackStoreResult(bytes, () => other)).toBeUndefined();
+    expect(decodeStoreResult(bytes, () => other)).toBeUndefined();
   });
 
   it('that cannot be read is none', () => {
     for (const bytes of [[], [0], [1, 2, 3], [0, 0x81, 0xf6], [0, 0x82, 0x01, 0x81, 0x01]]) {
-      expect(unpackStoreResult(Buffer.from(bytes))).toBeUndefined();
+      expect(decodeStoreResult(Buffer.from(bytes))).toBeUndefined();
     }
   });
 });
@@ -135,7 +135,7 @@
 
   it('is told to nobody from when the history is gone until it is listed anew', async () => {
     const cache = cacheAt({ ms: 0 });
-    cache.noteDoubt(KIND);
+    cache.markStale(KIND);
     expect(await namesAfter(cache, undefined)).toBe('unavailable');
     expect(await namesAfter(cache, 5)).toBe('unavailable');
     cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: LATER });
@@ -144,7 +144,7 @@
 
   it('gives way to a list of now, if it comes from one that may have lagged and nothing has borne it out', async () => {
     const clock = { now: () => 0 };
-    const reach = createStoreReach({ clock, onChange: () => {} });
+    const reach = createStoreReachability({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 100 });
     reach.noteAnswered();
     cache.noteList(
@@ -152,7 +152,7 @@
       { items: [object('a', 300)], revision: 310 },
       ReadConsistency.BoundedStaleness,
     );
-    cache.noteDoubt(KIND);
+    cache.markStale(KIND);
     cache.noteList(KIND, { items: [object('b', 250)], revision: 260 }, ReadConsistency.Strong);
     const result = await cache.read({ kind: KIND, revision: undefined, waitMs: 0 });
     expect(result.ok && result.value).toMatchObject({
@@ -163,14 +163,14 @@
 
   it('stays in doubt after a list that is older than it', async () => {
     const cache = cacheAt({ ms: 0 });
-    cache.noteDoubt(KIND);
+    cache.markStale(KIND);
     cache.noteList(KIND, { items: [], revision: 2 });
     expect(await namesAfter(cache, undefined)).toBe('unavailable');
   });
 
   it('comes to those who waited meanwhile as what has changed and what is gone', async () => {
     const cache = cacheAt({ ms: 0 });
-    cache.noteDoubt(KIND);
+    cache.markStale(KIND);
     const waiting = cache.read({ kind: KIND, revision: 5, waitMs: 1_000 });
     cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: LATER });
     const result = await waiting;
@@ -189,7 +189,7 @@
   it('is told to nobody from when this node hears of a later era until it is listed in that', async () => {
     let era = 0;
     const clock = { now: () => 0 };
-    const reach = createStoreReach({ clock, onChange: () => {} });
+    const reach = createStoreReachability({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => era, freshMs: 100 });
     reach.noteAnswered();
     cache.noteList(KIND, { items: [object('a', 3)], revision: 5 });
--- a/src/relay/storeCache.ts
+++ b/src/relay/storeCache.ts
@@ -16,7 +16,7 @@
 } from '../source/object-store.js';
 import { eraOf } from '../source/storeRevision.js';
 import { shareStructure } from './sharedStructure.js';
-import type { StoreReach } from './storeReach.js';
+import type { StoreReachability } from './storeReachability.js';
 
 /**
  * Earlier versions of objects that are kept for each kind: a follower that holds one of them is told
@@ -31,7 +31,7 @@
 /** What is needed of the node. */
 export interface StoreCacheContext {
   readonly clock: Clock;
-  readonly reach: Pick<StoreReach, 'answeredAt'>;
+  readonly reach: Pick<StoreReachability, 'answeredAt'>;
   /** The newest era that the store has told. */
   readonly era: () => number;
   /** Milliseconds after the store's last answer for which the cache may speak for it. */
@@ -41,7 +41,7 @@
 /** Speaks for the store while the store answers this node itself. */
 export interface StoreCache {
   /** Steady time in milliseconds at which another node last asked; minus infinity if none did. */
-  readonly askedAt: number;
+  readonly lastReadAt: number;
   /** True while the store itself has answered this node lately. */
   readonly isFresh: boolean;
   /** Returns the list with what it shares with what was known. */
@@ -61,11 +61,11 @@
    * What is known of a kind need not be what the store holds now: the store no longer knows the changes since,
    * or its list was older. Nothing is told of it until the next list or change that is taken.
    */
-  noteDoubt(kind: string): void;
+  markStale(kind: string): void;
   /** Newest revision up to which all changes of a kind are known. */
   revisionOf(kind: string): number | undefined;
   /** Revision of the object of a kind that has only one. */
-  onlyRevision(kind: string): number | undefined;
+  singleObjectRevision(kind: string): number | undefined;
   /** The object of this revision, present or earlier, while it is kept. */
   objectAt(kind: string, revision: number): StoredObject<unknown> | undefined;
   /** Answers another node; `unavailable` as soon as the cache is not fresh. */
@@ -115,7 +115,7 @@
   };
 
   return {
-    get askedAt() {
+    get lastReadAt() {
       return askedAt;
     },
     get isFresh() {
@@ -174,14 +174,14 @@
       }
       return shared;
     },
-    noteDoubt: (kind) => {
+    markStale: (kind) => {
       const known = kinds.get(kind);
       if (known) {
         known.isInDoubt = true;
       }
     },
     revisionOf: (kind) => kinds.get(kind)?.revision,
-    onlyRevision: (kind) => {
+    singleObjectRevision: (kind) => {
       const known = kinds.get(kind);
       return known && onlyObject(known)?.revision;
     },
--- a/src/relay/reachProof.test.ts
+++ b/src/relay/storeProbe.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from 'vitest';
 import type { ObjectStore, StoreResult } from '../source/object-store.js';
-import { type ReachProof, startReachProof } from './reachProof.js';
-import { createStoreReach } from './storeReach.js';
+import { type StoreProbe, startStoreProbe } from './storeProbe.js';
+import { createStoreReachability } from './storeReachability.js';
 
 const PACE_MS = 600;
 
@@ -11,7 +11,7 @@
 const ANSWERED: StoreResult<number> = { ok: true, value: 4 };
 const RESET: StoreResult<number> = { ok: false, failure: 'unknown', detail: 'reset' };
 
-let proof: ReachProof;
+let proof: StoreProbe;
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -23,16 +23,16 @@
 });
 
 /** A node whose proofs meet with what `probe` says, and what became of its reach. */
-function nodeWith(probe: () => Promise<StoreResult<number>>, isWanted = () => true) {
+function nodeWith(probe: () => Promise<StoreResult<number>>, isEnabled = () => true) {
   const clock = { now: () => Date.now() };
   const changes: string[] = [];
-  const reach = createStoreReach({
+  const reach = createStoreReachability({
     clock,
     onChange: (isInDoubt, detail) => changes.push(`${isInDoubt ? 'lost' : 'regained'}: ${detail}`),
   });
   let probes = 0;
   const seen: number[] = [];
-  proof = startReachProof({
+  proof = startStoreProbe({
     clock,
     store: {
       probe: () => {
@@ -42,9 +42,9 @@
     } as unknown as ObjectStore,
     reach,
     kind: 'nodes',
-    paceMs: PACE_MS,
-    isWanted,
-    onSeen: (revision) => seen.push(revision),
+    intervalMs: PACE_MS,
+    isEnabled,
+    onRevision: (revision) => seen.push(revision),
   });
   return { reach, changes, seen, probes: () => probes };
 }
@@ -68,17 +68,17 @@
     await vi.advanceTimersByTimeAsync(PACE_MS * 2);
     answer = silent;
     await vi.advanceTimersByTimeAsync(PACE_MS + PATIENCE_MS + PACE_MS / 8);
-    expect(reach.isInDoubt).toBe(true);
+    expect(reach.isSuspected).toBe(true);
     answer = async () => ANSWERED;
     await vi.advanceTimersByTimeAsync(PATIENCE_MS + PACE_MS / 8);
-    expect(reach.isInDoubt).toBe(false);
+    expect(reach.isSuspected).toBe(false);
     expect(changes).toEqual(['lost: a proof was not answered', 'regained: answered']);
   });
 
   it('is asked for at a bounded rate while it is refused at once', async () => {
     const { probes, reach } = nodeWith(async () => RESET);
     await vi.advanceTimersByTimeAsync(PATIENCE_MS * 10);
-    expect(reach.isInDoubt).toBe(true);
+    expect(reach.isSuspected).toBe(true);
     expect(probes()).toBeLessThanOrEqual(10);
   });
 
--- a/src/relay/reachProof.ts
+++ b/src/relay/storeProbe.ts
@@ -4,7 +4,7 @@
  */
 import type { Clock } from '../model/clock.js';
 import type { ObjectStore } from '../source/object-store.js';
-import type { StoreReach } from './storeReach.js';
+import type { StoreReachability } from './storeReachability.js';
 
 /** Looks in the time of one proof: a proof is late by one of them at the most. */
 const LOOKS = 8;
@@ -21,50 +21,50 @@
 const TELLING_FAILURES = 2;
 
 /** What is needed of the node. */
-export interface ReachProofContext {
+export interface StoreProbeContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  readonly reach: StoreReach;
+  readonly reach: StoreReachability;
   /** A kind of small objects. */
   readonly kind: string;
   /** Milliseconds after an answer of the store until it is asked again. */
-  readonly paceMs: number;
-  readonly isWanted: () => boolean;
+  readonly intervalMs: number;
+  readonly isEnabled: () => boolean;
   /** The store is at this revision, or was lately. */
-  readonly onSeen: (revision: number) => void;
+  readonly onRevision: (revision: number) => void;
 }
 
 /** Asks the store while this node relies on it; runs until stopped. */
-export interface ReachProof {
+export interface StoreProbe {
   stop(): void;
 }
 
-export function startReachProof(context: ReachProofContext): ReachProof {
-  const { clock, store, reach, kind, paceMs, isWanted, onSeen } = context;
+export function startStoreProbe(context: StoreProbeContext): StoreProbe {
+  const { clock, store, reach, kind, intervalMs, isEnabled, onRevision } = context;
   let sentAt = Number.NEGATIVE_INFINITY;
   let failures = 0;
   const ask = async (): Promise<void> => {
     sentAt = clock.now();
-    const silence = setTimeout(() => reach.noteSilence('a proof was not answered'), PATIENCE_MS);
+    const silence = setTimeout(() => reach.noteTimeout('a proof was not answered'), PATIENCE_MS);
     const result = await store.probe(kind);
     clearTimeout(silence);
     if (result.ok) {
       failures = 0;
       reach.noteAnswered();
-      onSeen(result.value);
+      onRevision(result.value);
       return;
     }
     failures += 1;
     if (failures >= TELLING_FAILURES) {
-      reach.noteSilence(`${result.failure}: ${result.detail}`);
+      reach.noteTimeout(`${result.failure}: ${result.detail}`);
     }
   };
   const timer = setInterval(() => {
-    const isDoubtful = reach.isInDoubt || failures > 0;
+    const isDoubtful = reach.isSuspected || failures > 0;
     const sinceMs = clock.now() - Math.max(sentAt, reach.answeredAt);
-    if (sinceMs >= (isDoubtful ? PATIENCE_MS : paceMs) && isWanted()) {
+    if (sinceMs >= (isDoubtful ? PATIENCE_MS : intervalMs) && isEnabled()) {
       void ask();
     }
-  }, paceMs / LOOKS);
+  }, intervalMs / LOOKS);
   return { stop: () => clearInterval(timer) };
 }
--- a/src/relay/storeReach.ts
+++ b/src/relay/storeReachability.ts
@@ -7,24 +7,27 @@
 import { createWaiters } from '../model/waiters.js';
 
 /** What is needed of the node. */
-export interface StoreReachContext {
+export interface StoreReachabilityContext {
   readonly clock: Clock;
   /** The store has ceased to answer, or answers again; what was seen of that. */
   readonly onChange: (isInDoubt: boolean, detail: string) => void;
 }
 
-export interface StoreReach {
+export interface StoreReachability {
   /** Steady time in milliseconds at which the store itself last answered; minus infinity if never. */
   readonly answeredAt: number;
   /** True from a silence until the next answer. */
-  readonly isInDoubt: boolean;
+  readonly isSuspected: boolean;
   noteAnswered(): void;
-  noteSilence(detail: string): void;
+  noteTimeout(detail: string): void;
   /** Resolves when the store has answered again, or after `waitMs`. */
-  regained(waitMs: number): Promise<void>;
+  untilReachable(waitMs: number): Promise<void>;
 }
 
-export function createStoreReach({ clock, onChange }: StoreReachContext): StoreReach {
+export function createStoreReachability({
+  clock,
+  onChange,
+}: StoreReachabilityContext): StoreReachability {
   let answeredAt = Number.NEGATIVE_INFINITY;
   let isInDoubt = false;
   const waiting = createWaiters();
@@ -38,7 +41,7 @@
     get answeredAt() {
       return answeredAt;
     },
-    get isInDoubt() {
+    get isSuspected() {
       return isInDoubt;
     },
     noteAnswered: () => {
@@ -46,7 +49,7 @@
       change(false, 'answered');
       waiting.wakeAll();
     },
-    noteSilence: (detail) => change(true, detail),
-    regained: (waitMs) => waiting.wait(waitMs),
+    noteTimeout: (detail) => change(true, detail),
+    untilReachable: (waitMs) => waiting.wait(waitMs),
   };
 }
--- a/src/relay/storeResultCodec.ts
+++ b/src/relay/storeResultCodec.ts
@@ -43,7 +43,7 @@
 export type ObjectAt = (revision: number) => StoredObject<unknown> | undefined;
 
 /** Renders an answer; `base` is an object that its receiver holds. */
-export function packStoreResult(
+export function encodeStoreResult(
   result: StoreResult<Changes>,
   base?: StoredObject<unknown>,
 ): Buffer {
@@ -58,7 +58,7 @@
 }
 
 /** Reads an answer; undefined when it is none, or tells a difference from what is not known. */
-export function unpackStoreResult(
+export function decodeStoreResult(
   bytes: Buffer,
   objectAt: ObjectAt = () => undefined,
 ): StoreResult<Changes> | undefined {
--- a/src/relay/zoneWait.ts
+++ b/src/relay/zoneDiscoveryDelay.ts
@@ -15,7 +15,7 @@
 const ZONE_TICK_MS = 50;
 
 /** What is needed of the node. */
-export interface ZoneWaitContext {
+export interface ZoneDiscoveryDelayContext {
   readonly clock: Clock;
   /** Kind of the records by which nodes find one another. */
   readonly nodeKind: string;
@@ -24,7 +24,9 @@
 }
 
 /** Resolves when a watch of this kind may begin. */
-export function createZoneWait(context: ZoneWaitContext): (kind: string) => Promise<void> {
+export function createZoneDiscoveryDelay(
+  context: ZoneDiscoveryDelayContext,
+): (kind: string) => Promise<void> {
   const { clock, nodeKind, isAlone } = context;
   const startedAt = clock.now();
   return async (kind) => {
--- a/src/relay/zoneReaders.test.ts
+++ b/src/relay/zoneReaders.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { type ZoneNode, ZoneRole, zonePartOf } from './zoneReaders.js';
+import { assignZoneRole, type ZoneNode, ZoneRole } from './zoneReaders.js';
 
 function zoneOf(size: number): ZoneNode[] {
   return Array.from({ length: size }, (_, index) => ({
@@ -11,14 +11,14 @@
 
 function readersOf(nodes: readonly ZoneNode[]): string[] {
   return nodes
-    .filter((each) => zonePartOf(each, nodes).role === ZoneRole.Reader)
+    .filter((each) => assignZoneRole(each, nodes).role === ZoneRole.Reader)
     .map(({ node }) => node);
 }
 
 describe('readers of a zone', () => {
   it('are none where a node is alone', () => {
     const nodes = zoneOf(1);
-    expect(zonePartOf(nodes[0] as ZoneNode, nodes)).toMatchObject({
+    expect(assignZoneRole(nodes[0] as ZoneNode, nodes)).toMatchObject({
       role: ZoneRole.Alone,
       readers: [],
     });
@@ -36,7 +36,7 @@
       const readers = readersOf(nodes);
       expect(readers).toHaveLength(count);
       const first = nodes
-        .map((each) => zonePartOf(each, nodes).readers[0]?.node)
+        .map((each) => assignZoneRole(each, nodes).readers[0]?.node)
         .filter((node) => node !== undefined);
       expect(first).toHaveLength(size - count);
       expect(readers).toEqual(expect.arrayContaining(first));
@@ -49,7 +49,7 @@
     const left = nodes.filter(({ node }) => node !== lost);
     expect(readersOf(left)).toContain(kept);
     for (const each of left) {
-      const { role, readers } = zonePartOf(each, left);
+      const { role, readers } = assignZoneRole(each, left);
       const isReader = readersOf(left).includes(each.node);
       expect(role).toBe(isReader ? ZoneRole.Reader : ZoneRole.Follower);
       // Both readers and a spare one, which does not ask itself.
@@ -65,7 +65,7 @@
       linkMbps: wide.includes(each.node) ? 70 : 3.5,
     }));
     expect(readersOf(nodes).sort()).toEqual(['node-17', 'node-3']);
-    const follower = zonePartOf(nodes[0] as ZoneNode, nodes);
+    const follower = assignZoneRole(nodes[0] as ZoneNode, nodes);
     expect(
       follower.readers
         .slice(0, 2)
@@ -85,7 +85,7 @@
     const nodes = ['a', 'b', 'c'].flatMap((zone) =>
       zoneOf(6).map((node) => ({ ...node, zone, node: `${zone}-${node.node}` })),
     );
-    const elsewhere = zonePartOf(nodes[0] as ZoneNode, nodes).elsewhere();
+    const elsewhere = assignZoneRole(nodes[0] as ZoneNode, nodes).otherZoneReaders();
     expect(elsewhere.map(({ zone }) => zone).sort()).toEqual(['b', 'c']);
     expect(readersOf(nodes)).toEqual(expect.arrayContaining(elsewhere.map(({ node }) => node)));
   });
--- a/src/relay/zoneReaders.ts
+++ b/src/relay/zoneReaders.ts
@@ -33,31 +33,31 @@
   Follower = 'follower',
 }
 
-export interface ZonePart {
+export interface ZoneAssignment {
   readonly role: ZoneRole;
   /** Readers to ask, the preferred one first; none for other roles than follower. */
   readonly readers: readonly ZoneNode[];
   /** The first reader of each other zone, for a node that the store turns away; rarely needed. */
-  readonly elsewhere: () => readonly ZoneNode[];
+  readonly otherZoneReaders: () => readonly ZoneNode[];
 }
 
 /** `nodes` are all known nodes that are not known to be away, `own` among them. */
-export function zonePartOf(own: ZoneNode, nodes: readonly ZoneNode[]): ZonePart {
+export function assignZoneRole(own: ZoneNode, nodes: readonly ZoneNode[]): ZoneAssignment {
   const zone = nodes.filter((node) => node.zone === own.zone);
-  const elsewhere = () => readersElsewhere(own, nodes);
+  const otherZoneReaders = () => readersElsewhere(own, nodes);
   if (zone.length < SMALLEST_ZONE) {
-    return { role: ZoneRole.Alone, readers: [], elsewhere };
+    return { role: ZoneRole.Alone, readers: [], otherZoneReaders };
   }
   const ranked = ranking(zone);
   const count = Math.ceil(zone.length / NODES_PER_READER);
   const readers = ranked.slice(0, count);
   if (readers.some(({ node }) => node === own.node)) {
-    return { role: ZoneRole.Reader, readers: [], elsewhere };
+    return { role: ZoneRole.Reader, readers: [], otherZoneReaders };
   }
   // Each follower prefers another one of the readers, so that they share the work.
   const order = [...ranking(readers, own.node), ...ranked.slice(count, count + SPARE_READERS)];
   const others = order.filter(({ node }) => node !== own.node);
-  return { role: ZoneRole.Follower, readers: others, elsewhere };
+  return { role: ZoneRole.Follower, readers: others, otherZoneReaders };
 }
 
 function readersElsewhere(own: ZoneNode, nodes: readonly ZoneNode[]): ZoneNode[] {
--- a/src/relay/zoneRelay.ts
+++ b/src/relay/zoneRelay.ts
@@ -2,13 +2,13 @@
 import type { Clock } from '../model/clock.js';
 import { createEraGuard } from '../source/eraGuard.js';
 import type { ObjectStore, StoreQuery } from '../source/object-store.js';
-import { createOwnWatches } from './ownWatches.js';
-import { startReachProof } from './reachProof.js';
+import { createDirectWatches } from './directWatches.js';
 import { createRelayedStore, type RelayedStore } from './relayedStore.js';
 import { createStoreCache } from './storeCache.js';
-import { createStoreReach } from './storeReach.js';
-import { packStoreResult, unpackStoreResult } from './storeResultCodec.js';
-import type { ZonePart } from './zoneReaders.js';
+import { startStoreProbe } from './storeProbe.js';
+import { createStoreReachability } from './storeReachability.js';
+import { decodeStoreResult, encodeStoreResult } from './storeResultCodec.js';
+import type { ZoneAssignment } from './zoneReaders.js';
 
 /**
  * Parts of the time within which a version must be in force. A follower finds out that its reader
@@ -31,25 +31,25 @@
   /** The store itself. */
   readonly store: ObjectStore;
   /** This node's own record: a small object of the store, which need not exist. */
-  readonly record: { readonly kind: string; readonly name: string };
+  readonly ownRecord: { readonly kind: string; readonly name: string };
   /** Kind of the configuration. */
-  readonly hurriedKind: string;
+  readonly configurationKind: string;
   /** Milliseconds from a version's acknowledgement until it must be in force. */
   readonly applyMs: number;
-  readonly zonePart: () => ZonePart;
+  readonly zoneAssignment: () => ZoneAssignment;
   /** Asks another node; undefined when it does not answer in time. */
   readonly readPeer: (
     address: string,
     question: StoreQuery,
     timeoutMs: number,
   ) => Promise<Buffer | undefined>;
-  readonly onReader: (reader: string | undefined, cause: string) => void;
+  readonly onReaderChange: (reader: string | undefined, cause: string) => void;
   /** The store has ceased to answer this node's proofs, or answers again; what was seen of that. */
-  readonly onReach: (isReached: boolean, detail: string) => void;
+  readonly onReachabilityChange: (isReached: boolean, detail: string) => void;
   /** The store has come back from a copy: its era before, and now. */
-  readonly onEraRise: (era: number, before: number) => void;
+  readonly onEraChange: (era: number, before: number) => void;
   /** A watch was silent although the store had changes, up to this revision. */
-  readonly onUntold: (kind: string, revision: number) => void;
+  readonly onMissedChanges: (kind: string, revision: number) => void;
   /** An answer to a follower has been made, of so many bytes. */
   readonly onAnswer?: (kind: string, bytes: number) => void;
 }
@@ -62,29 +62,29 @@
   /** The store has told this era in an answer. */
   noteEra(era: number): void;
   /** Milliseconds for which changes of the configuration are gathered before the next call. */
-  settleMs(): number;
+  debounceMs(): number;
   /** Answers a node that reads by way of this one. */
   answer(question: StoreQuery): Promise<Buffer>;
   stop(): void;
 }
 
 export function createZoneRelay(context: ZoneRelayContext): ZoneRelay {
-  const { clock, applyMs, record } = context;
+  const { clock, applyMs, ownRecord } = context;
   const origin = createEraGuard({
     clock,
     store: context.store,
     onEraIncrease: (era, before) => {
-      context.onEraRise(era, before);
+      context.onEraChange(era, before);
       watches.noteEra(era);
     },
   });
-  const reach = createStoreReach({
+  const reach = createStoreReachability({
     clock,
     onChange: (isInDoubt, detail) => {
-      context.onReach(!isInDoubt, detail);
+      context.onReachabilityChange(!isInDoubt, detail);
       if (isInDoubt) {
         origin.closeIdle();
-        watches.abandon();
+        watches.failAll();
       }
     },
   });
@@ -94,12 +94,12 @@
     era: () => origin.era,
     freshMs: applyMs * (PACE_SHARE + MARGIN_SHARE),
   });
-  const watches = createOwnWatches({
+  const watches = createDirectWatches({
     store: origin,
-    toldRevision: cache.revisionOf,
-    onNothingMissed: (kind, from, revision) =>
+    knownRevision: cache.revisionOf,
+    onNoMissedChanges: (kind, from, revision) =>
       cache.noteChanges(kind, from, { events: [], revision }),
-    onSilent: context.onUntold,
+    onMissedChanges: context.onMissedChanges,
   });
   const store = createRelayedStore({
     clock,
@@ -107,38 +107,38 @@
     cache,
     reach,
     watches,
-    nodeKind: record.kind,
-    hurriedKind: context.hurriedKind,
-    paceMs: applyMs * PACE_SHARE,
-    patienceMs: applyMs * PATIENCE_SHARE,
-    zonePart: context.zonePart,
+    nodeKind: ownRecord.kind,
+    configurationKind: context.configurationKind,
+    longPollMs: applyMs * PACE_SHARE,
+    responseTimeoutMs: applyMs * PATIENCE_SHARE,
+    zoneAssignment: context.zoneAssignment,
     ask: async (address, question, timeoutMs) => {
       const until = clock.now() + timeoutMs;
       const bytes = await context.readPeer(address, question, timeoutMs);
       const objectAt = (revision: number) => cache.objectAt(question.kind, revision);
-      const result = bytes && unpackStoreResult(bytes, objectAt);
+      const result = bytes && decodeStoreResult(bytes, objectAt);
       if (result || !bytes || question.base === undefined) {
         return result;
       }
       // The difference does not lead from what is held here to what the reader has.
       const whole = { ...question, base: undefined };
       const again = await context.readPeer(address, whole, until - clock.now());
-      return again && unpackStoreResult(again);
+      return again && decodeStoreResult(again);
     },
-    onReader: context.onReader,
+    onReaderChange: context.onReaderChange,
   });
-  const proof = startReachProof({
+  const proof = startStoreProbe({
     clock,
     store: origin,
     reach,
-    kind: record.kind,
-    paceMs: applyMs * PACE_SHARE,
-    isWanted: () => {
+    kind: ownRecord.kind,
+    intervalMs: applyMs * PACE_SHARE,
+    isEnabled: () => {
       // Watches from before the zone was known, or from while others asked here, would cost calls to the end of their wait.
-      store.releaseOwn();
-      return store.isAlone;
+      store.releaseDirectWatches();
+      return store.hasFallbackWatch;
     },
-    onSeen: watches.noteSeen,
+    onRevision: watches.noteRevision,
   });
   // Followers that wait for the same change get the same bytes: packing is the dear part.
   const packed = createPackedAnswers();
@@ -148,7 +148,7 @@
       return origin.era;
     },
     noteEra: origin.noteEra,
-    settleMs: () => {
+    debounceMs: () => {
       if (store.isFollowing) {
         return 0;
       }
@@ -161,9 +161,9 @@
       const held = base === undefined ? undefined : cache.objectAt(kind, base);
       const bytes = hasNews
         ? packed(`${kind} ${revision} ${result.value.revision} ${held?.revision}`, () =>
-            packStoreResult(result, held),
+            encodeStoreResult(result, held),
           )
-        : packStoreResult(result);
+        : encodeStoreResult(result);
       context.onAnswer?.(kind, bytes.length);
       return bytes;
     },
--- a/src/sidecar/zoneMembership.ts
+++ b/src/sidecar/zoneMembership.ts
@@ -2,7 +2,7 @@
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from '../directory/owner-entry.js';
 import type { Clock } from '../model/clock.js';
-import { type ZonePart, zonePartOf } from '../relay/zoneReaders.js';
+import { assignZoneRole, type ZoneAssignment } from '../relay/zoneReaders.js';
 
 /**
  * The part is worked out again after this time, in milliseconds, or when the directory has changed:
@@ -18,9 +18,9 @@
 }
 
 /** Tells this node's part in reading the store for its zone. */
-export function createZoneMembership(context: ZoneMembershipContext): () => ZonePart {
+export function createZoneMembership(context: ZoneMembershipContext): () => ZoneAssignment {
   const { clock, directory, own } = context;
-  let part: ZonePart | undefined;
+  let part: ZoneAssignment | undefined;
   let until = 0;
   let generation = -1;
   const isAway = ({ absence }: OwnerEntry) => absence === 'silent' || absence === 'stopping';
@@ -31,7 +31,7 @@
         .all()
         .filter((entry) => entry.isLocal || !isAway(entry))
         .map(({ record }) => record);
-      part = zonePartOf(own(), nodes);
+      part = assignZoneRole(own(), nodes);
       until = now + PART_LIFETIME_MS;
       generation = directory.generation;
     }
