--- a/lab/rolloutTrial.ts
+++ b/lab/rolloutTrial.ts
@@ -6,8 +6,11 @@
 
 import type { OwnerDirectory } from '../src/directory/owner-directory.js';
 import type { OwnerEntry } from '../src/directory/owner-entry.js';
+import {
+  createRolloutController,
+  type RolloutController,
+} from '../src/directory/rolloutController.js';
 import { createRolloutReporter, type RolloutReporter } from '../src/directory/rolloutReporter.js';
-import { createRolloutSteering, type RolloutSteering } from '../src/directory/rolloutSteering.js';
 import type { Announcement } from '../src/peer/peerClient.js';
 import {
   decodeRolloutMessage,
@@ -94,9 +97,9 @@
 interface Node {
   readonly name: string;
   readonly version: string;
-  readonly book: RolloutTracker;
+  readonly rollouts: RolloutTracker;
   readonly reporter: RolloutReporter;
-  readonly steering: RolloutSteering;
+  readonly steering: RolloutController;
   readonly shares: VersionSelector;
   /** Ticks at other moments than the others. */
   readonly phaseMs: number;
@@ -154,7 +157,7 @@
 
   const entries = names.map((node) => ({
     record: { node, address: node, zone: 'zone-a' },
-    absence: undefined,
+    absenceReason: undefined,
     isLocal: false,
   })) as unknown as OwnerEntry[];
   const directory: Pick<OwnerDirectory, 'all' | 'ownersOf'> = {
@@ -168,14 +171,14 @@
   };
 
   const nodes: Node[] = names.map((name, index) => {
-    const book = createRolloutTracker({ clock, staleMs: () => CONTACT_MS });
-    book.isSynced = true;
+    const rollouts = createRolloutTracker({ clock, staleMs: () => CONTACT_MS });
+    rollouts.isSynced = true;
     const own = () => ({ node: name, address: name, zone: 'zone-a' }) as OwnerEntry['record'];
-    const isDecider = index === 0;
+    const isLeader = index === 0;
     const election = {
-      deciderOf: () => (isDecider ? ({ ...decider, isLocal: true } as OwnerEntry) : decider),
-      isDecider: () => isDecider,
-      noteDeaf: () => {},
+      leaderOf: () => (isLeader ? ({ ...decider, isLocal: true } as OwnerEntry) : decider),
+      isLeader: () => isLeader,
+      noteUnreachable: () => {},
       noteResigned: () => {},
     };
     const caller = {
@@ -190,12 +193,12 @@
     const node: Node = {
       name,
       version: versionOf(name),
-      book,
+      rollouts,
       phaseMs: Math.floor((random() * TICK_MS) / STEP_MS) * STEP_MS,
       running: 0,
       reporter: createRolloutReporter({
         clock,
-        book,
+        rollouts,
         election,
         caller,
         own,
@@ -206,16 +209,16 @@
           slots: SLOTS,
           load: node.running,
         }),
-        isAlone: () => false,
-        onOwnEvidence: (evidence) => node.steering.takeEvidence(evidence),
+        isSoleVersion: () => false,
+        onLocalEvidence: (evidence) => node.steering.receiveEvidence(evidence),
       }),
-      steering: createRolloutSteering({
+      steering: createRolloutController({
         clock,
-        book,
+        rollouts,
         election,
         directory,
         broadcast: {
-          tell: (_topic, content) => {
+          publish: (_topic, content) => {
             for (const other of names.filter((each) => each !== name)) {
               send(other, content, wordMs);
             }
@@ -230,7 +233,7 @@
           pending: () => writing?.state,
         }),
         onPhase: (news) => takePhase(node, news),
-        onOwnLimit: (news) => node.reporter.takeLimit(news),
+        onLocalLimit: (news) => node.reporter.applyLimit(news),
         onChange: ({ change, detail }) => {
           if (change === 'decision') {
             phases.push(
@@ -246,17 +249,17 @@
         owners: () => names.map((each) => ({ node: each, version: versionOf(each) })),
         nodes: () => names.length,
         random,
-        view: book.view,
+        view: rollouts.view,
         isSynced: () => true,
-        withdrawn: book.withdrawn,
+        withdrawn: rollouts.withdrawn,
       }),
     };
     return node;
   });
 
   const takePhase = (node: Node, news: PhaseMessage): void => {
-    if (node.book.applyPhase(news)) {
-      node.reporter.reportPhase(SERVICE);
+    if (node.rollouts.applyPhase(news)) {
+      node.reporter.reportPhaseChange(SERVICE);
     }
   };
 
@@ -267,19 +270,19 @@
       const node = nodes.find(({ name }) => name === to) as Node;
       const news = decodeRolloutMessage(content);
       if (news?.kind === RolloutMessageKind.Phase) {
-        node.steering.noteDecider(SERVICE, news.leader);
+        node.steering.noteLeader(SERVICE, news.leader);
         takePhase(node, news);
       } else if (news?.kind === RolloutMessageKind.Evidence) {
-        node.steering.takeEvidence(news);
+        node.steering.receiveEvidence(news);
       } else if (news?.kind === RolloutMessageKind.Limit) {
-        node.reporter.takeLimit(news);
+        node.reporter.applyLimit(news);
       }
     }
   };
 
   const tellStatus = (written: RolloutState): void => {
-    for (const { book } of nodes) {
-      book.applyOrder({ ...order, state: written });
+    for (const { rollouts } of nodes) {
+      rollouts.applyOrder({ ...order, state: written });
     }
   };
 
@@ -310,7 +313,7 @@
 
   const start = (node: Node, passage: RunPermit, route: number): void => {
     const isTarget = node.version === TARGET;
-    const phase = nodes[0]?.book.running(SERVICE)?.phase ?? RolloutPhase.Done;
+    const phase = nodes[0]?.rollouts.running(SERVICE)?.phase ?? RolloutPhase.Done;
     const run = { route, node: node.name, atMs: now, phase };
     const { failing, slowness = 1 } = (isTarget ? target : other)(run);
     node.running += 1;
@@ -343,7 +346,7 @@
       }
       tried.add(node);
       share.noteOffer(node.name);
-      const passage = node.reporter.enter();
+      const passage = node.reporter.acquirePermit();
       if (passage) {
         start(node, passage, route);
         return;
@@ -354,7 +357,7 @@
 
   const end = ({ node, passage, route, startedAt, failed }: Running): void => {
     node.running -= 1;
-    node.reporter.noteRun({
+    node.reporter.recordRun({
       service: SERVICE,
       version: node.version,
       route: String(route),
@@ -365,8 +368,8 @@
     passage.finish(true);
   };
 
-  for (const { book } of nodes) {
-    book.applyOrder(order);
+  for (const { rollouts } of nodes) {
+    rollouts.applyOrder(order);
   }
   for (; now < endAt && (state === RolloutState.Running || now <= durationMs); now += STEP_MS) {
     deliver();
@@ -383,17 +386,17 @@
       }
     });
     for (const node of nodes) {
-      node.book.markSynced();
+      node.rollouts.markSynced();
       if (now % TICK_MS === node.phaseMs % TICK_MS) {
-        const rollout = node.book.running(SERVICE);
+        const rollout = node.rollouts.running(SERVICE);
         if (rollout) {
           node.reporter.report(rollout);
         }
         if (rollout && node === nodes[0]) {
-          node.steering.steer(rollout);
+          node.steering.reconcile(rollout);
         }
       }
-      gotAll ||= node.book.running(SERVICE)?.phase === RolloutPhase.Shift;
+      gotAll ||= node.rollouts.running(SERVICE)?.phase === RolloutPhase.Shift;
     }
   }
   const { exposureShare, exposureSlack } = TRIAL_BOUNDS;
--- a/src/cli/operatorOutside.ts
+++ b/src/cli/operatorOutside.ts
@@ -1,5 +1,5 @@
 /** What a deployment brings to the operator's commands: its store and how that spells things. */
-import type { RolloutObjects } from '../directory/rolloutStatus.js';
+import type { RolloutCodec } from '../directory/rolloutStatusWriter.js';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
 import type { ConfigurationCandidate } from '../source/configuration-holder.js';
 import type { ObjectStore } from '../source/object-store.js';
@@ -13,5 +13,5 @@
   readonly decodeConfiguration: (spec: unknown) => ConfigurationCandidate | undefined;
   readonly encodeConfiguration: (configuration: MeshConfiguration) => unknown;
   /** How orders for roll-outs are spelled; left out where there are none. */
-  readonly rollouts?: RolloutObjects;
+  readonly rollouts?: RolloutCodec;
 }
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -1,6 +1,6 @@
 /** Commands about roll-outs: each is one order in the store, whose status the sidecars write. */
 import { setTimeout as delay } from 'node:timers/promises';
-import type { RolloutObjects } from '../directory/rolloutStatus.js';
+import type { RolloutCodec } from '../directory/rolloutStatusWriter.js';
 import type { Finding } from '../model/finding.js';
 import { type RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
 import { hasEnded } from '../rollout/rolloutTracker.js';
@@ -212,7 +212,7 @@
 
 async function readOrder(
   store: ObjectStore,
-  rollouts: RolloutObjects,
+  rollouts: RolloutCodec,
   service: string,
 ): Promise<HeldOrder> {
   const result = await store.get<unknown>(rollouts.kind, service);
--- a/src/directory/crashRecords.ts
+++ b/src/directory/crashRecords.ts
@@ -13,7 +13,7 @@
 import type { ObjectStore, StoredObject } from '../source/object-store.js';
 import { mayBeLost } from '../source/storeRevision.js';
 import { CRASH_KIND, type CrashRecord, isCrashRecord } from './crashRecord.js';
-import type { RestoreTurns } from './restoreTurns.js';
+import type { StaggeredRepairs } from './staggeredRepairs.js';
 
 /** Pause before a record that could not be written is written again, in milliseconds, give or take a half. */
 const WRITE_RETRY_MS = 1_000;
@@ -24,9 +24,9 @@
 /** What is needed of the node. */
 export interface CrashRecordsContext {
   readonly store: ObjectStore;
-  readonly turns: RestoreTurns;
+  readonly repairs: StaggeredRepairs;
   readonly timing: WatchTiming;
-  readonly isOfUse: (record: CrashRecord) => boolean;
+  readonly isRelevant: (record: CrashRecord) => boolean;
   readonly onRecord: (record: CrashRecord) => void;
   /** A record was removed. */
   readonly onRemoved: (record: CrashRecord) => void;
@@ -46,14 +46,15 @@
 }
 
 export function createCrashRecords(context: CrashRecordsContext): CrashRecords {
-  const { store, turns, timing, isOfUse, onRecord, onRemoved, onConnected, onUnreadable } = context;
+  const { store, repairs, timing, isRelevant, onRecord, onRemoved, onConnected, onUnreadable } =
+    context;
   const stored = new Map<string, StoredObject<CrashRecord>>();
   /** Each name is that of a back end's life: none is used twice. */
   const removed = createRecentNames(MAX_REMOVED);
   let isStopped = false;
 
   const write = async (name: string, record: CrashRecord): Promise<void> => {
-    while (!isStopped && isOfUse(record)) {
+    while (!isStopped && isRelevant(record)) {
       const result = await store.create<CrashRecord>(CRASH_KIND, name, record);
       if (result.ok || result.failure === 'conflict') {
         return;
@@ -71,10 +72,10 @@
     const object = stored.get(name);
     if (object && mayBeLost(had, revision)) {
       // Taken for an operator's word it would let the request crash more back ends.
-      turns.take(name, () => void write(name, object.spec));
+      repairs.schedule(name, () => void write(name, object.spec));
       return;
     }
-    turns.pass(name);
+    repairs.cancel(name);
     removed.add(name);
     stored.delete(name);
     if (object) {
@@ -83,9 +84,9 @@
   };
 
   const takeObject = ({ name, revision, spec }: StoredObject<unknown>): void => {
-    turns.pass(name);
+    repairs.cancel(name);
     if (removed.has(name)) {
-      turns.take(name, () => removeAt(name, revision));
+      repairs.schedule(name, () => removeAt(name, revision));
       return;
     }
     if (!isCrashRecord(spec)) {
@@ -136,7 +137,7 @@
     start: () => void watcher.run(),
     stop: () => {
       isStopped = true;
-      turns.stop();
+      repairs.stop();
       watcher.stop();
     },
   };
--- a/src/directory/spillAllowance.test.ts
+++ b/src/directory/crossZoneBudget.test.ts
@@ -1,13 +1,13 @@
 import { describe, expect, it } from 'vitest';
-import { createSpillAllowance } from './spillAllowance.js';
+import { createCrossZoneBudget } from './crossZoneBudget.js';
 
-describe('createSpillAllowance', () => {
+describe('createCrossZoneBudget', () => {
   it('lets a small share of the large requests leave, whatever their number', () => {
-    const allowance = createSpillAllowance();
+    const allowance = createCrossZoneBudget();
     let left = 0;
     for (let request = 0; request < 1_000; request += 1) {
-      allowance.earn();
-      left += allowance.take() ? 1 : 0;
+      allowance.deposit();
+      left += allowance.tryWithdraw() ? 1 : 0;
     }
     expect(left).toBeGreaterThan(90);
     expect(left).toBeLessThan(110);
--- a/src/directory/spillAllowance.ts
+++ b/src/directory/crossZoneBudget.ts
@@ -11,26 +11,26 @@
 export const LARGE_BODY_BYTES = 16 * 1024;
 
 /** Part of the large requests that may leave the zone. */
-const SPILL_RATIO = 0.1;
+const CROSS_ZONE_RATIO = 0.1;
 
 /** Large requests that may leave the zone in one go. */
-const SPILL_BURST = 2;
+const CROSS_ZONE_BURST = 2;
 
 /** Keeps count of the large requests of one node. */
-export interface SpillAllowance {
+export interface CrossZoneBudget {
   /** A large request has arrived: it earns its part of one that may leave. */
-  earn(): void;
+  deposit(): void;
   /** Takes the leave for one large request; false when there is none left. */
-  take(): boolean;
+  tryWithdraw(): boolean;
 }
 
-export function createSpillAllowance(): SpillAllowance {
-  let left = SPILL_BURST;
+export function createCrossZoneBudget(): CrossZoneBudget {
+  let left = CROSS_ZONE_BURST;
   return {
-    earn: () => {
-      left = Math.min(SPILL_BURST, left + SPILL_RATIO);
+    deposit: () => {
+      left = Math.min(CROSS_ZONE_BURST, left + CROSS_ZONE_RATIO);
     },
-    take: () => {
+    tryWithdraw: () => {
       if (left < 1) {
         return false;
       }
--- a/src/directory/directory-sync.test.ts
+++ b/src/directory/directory-sync.test.ts
@@ -53,7 +53,7 @@
     own: () => own,
     timing: { waitMs: 1_000, debounceMs: () => 0 },
     onConnected: () => {},
-    onOwner: () => {},
+    onOwnerChange: () => {},
     onReport: () => {},
     onUnreadable: () => {},
     ...options,
@@ -72,9 +72,9 @@
 
   it('are asked at a rate that does not grow with their number, near ones first', async () => {
     const { own, asked, directory, sync } = fleet(() => undefined);
-    const isNear = (address: string) => directory.atAddress(address)?.record.zone === own.zone;
+    const isNear = (address: string) => directory.findByAddress(address)?.record.zone === own.zone;
     for (const entry of directory.all().filter((each) => !each.isLocal)) {
-      entry.makeAbsent('silent', performance.now());
+      entry.markAbsent('silent', performance.now());
     }
     sync.start();
     await vi.advanceTimersByTimeAsync(WATCHED_MS);
@@ -82,7 +82,7 @@
     const near = asked.filter(isNear);
     const far = asked.filter((address) => !isNear(address));
     expect(new Set(near).size).toBe(
-      directory.all().filter((entry) => directory.isNear(entry)).length - 1,
+      directory.all().filter((entry) => directory.isInOwnZone(entry)).length - 1,
     );
     expect(far.length).toBeLessThanOrEqual(WATCHED_MS / 100);
     // All take their turn: none is forgotten.
@@ -92,19 +92,19 @@
   it('are found again when they are back', async () => {
     const { directory, sync } = fleet(() => peerReport());
     for (const entry of directory.all().filter((each) => !each.isLocal)) {
-      entry.makeAbsent('silent', performance.now());
+      entry.markAbsent('silent', performance.now());
     }
     sync.start();
     await vi.advanceTimersByTimeAsync(30_000);
     await sync.stop(false);
-    expect(directory.all().filter((entry) => entry.absence)).toEqual([]);
+    expect(directory.all().filter((entry) => entry.absenceReason)).toEqual([]);
   });
 });
 
 it('a back end that is ready is announced to its whole zone and to a few of the others', () => {
   const { own, asked, directory, sync } = fleet(() => undefined);
-  sync.announce();
-  const zone = directory.all().filter((entry) => directory.isNear(entry) && !entry.isLocal);
+  sync.announceReady();
+  const zone = directory.all().filter((entry) => directory.isInOwnZone(entry) && !entry.isLocal);
   expect(asked).toEqual(expect.arrayContaining(zone.map((entry) => entry.record.address)));
   expect(asked).not.toContain(own.address);
   expect(asked.length - zone.length).toBe(8);
@@ -125,7 +125,7 @@
       onLeft: (node) => left.add(node),
     });
     sync.start();
-    await vi.waitFor(() => expect(sync.isListed).toBe(true));
+    await vi.waitFor(() => expect(sync.isSynced).toBe(true));
     store.put(NODE_KIND, last.node, last);
     store.delete(NODE_KIND, last.node);
     // A change that comes after it is known: so is the end.
--- a/src/directory/directory-sync.ts
+++ b/src/directory/directory-sync.ts
@@ -17,8 +17,8 @@
 import { createOwnerProbes, type OwnerProbes } from './ownerProbes.js';
 import { isOwnerRecord, readOwnerRecords } from './ownerRecord.js';
 import { createOwnRecord, type OwnRecord } from './ownRecord.js';
-import { createRestoreTurns } from './restoreTurns.js';
-import { createReturnedRecords, type ReturnedRecords } from './returnedRecords.js';
+import { createRestoredRecords, type RestoredRecords } from './restoredRecords.js';
+import { createStaggeredRepairs } from './staggeredRepairs.js';
 
 /** Kind of the objects by which nodes find one another. */
 export const NODE_KIND = 'spindlepaddle-nodes';
@@ -40,10 +40,10 @@
   readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
   /** True while other nodes go by whether this one has left; left out: they do not. */
-  readonly tellsLeaving?: () => boolean;
+  readonly marksDeparture?: () => boolean;
   readonly timing: WatchTiming;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
-  readonly onOwner: (node: string, change: string, detail: string) => void;
+  readonly onOwnerChange: (node: string, change: string, detail: string) => void;
   /** The node has left for good, by its own word. */
   readonly onLeft?: (node: string) => void;
   readonly onReport: (address: string, report: PeerReport) => void;
@@ -59,11 +59,11 @@
   private stopped = false;
   private listed = false;
   /** True once another node has told its owners, while the store has not. */
-  private isTold = false;
+  private hasPeerList = false;
   private isAsking = false;
   private readonly probes: OwnerProbes;
   private readonly missing: MissingOwners;
-  private readonly returned: ReturnedRecords;
+  private readonly returned: RestoredRecords;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: DirectorySyncOptions) {
@@ -72,7 +72,7 @@
       clock,
       directory,
       own,
-      askStatus: (address) => caller.status(address, STATUS_TIMEOUT_MS),
+      exchangeStatus: (address) => caller.status(address, STATUS_TIMEOUT_MS),
       onReport: (entry, report) => this.noteReport(entry, report),
     });
     this.missing = createMissingOwners({
@@ -80,8 +80,8 @@
       isAlive: (node) => this.probes.isAlive(node),
       forget: (node) => this.forget(node),
     });
-    this.returned = createReturnedRecords({
-      turns: createRestoreTurns({
+    this.returned = createRestoredRecords({
+      repairs: createStaggeredRepairs({
         own: () => own().node,
         nodes: () => directory.all().map(({ record }) => record.node),
       }),
@@ -104,19 +104,19 @@
       store: options.store,
       kind: NODE_KIND,
       own,
-      tellsLeaving: options.tellsLeaving ?? (() => false),
+      marksDeparture: options.marksDeparture ?? (() => false),
       refresh: () => this.watcher.refresh(),
     });
   }
 
   /** True once the other nodes are known: from the store, or else from one of them. */
-  get isListed(): boolean {
-    return this.listed || this.isTold;
+  get isSynced(): boolean {
+    return this.listed || this.hasPeerList;
   }
 
   /** The known owners, for a node that the store does not serve; undefined before they are known. */
   bytes(): Buffer | undefined {
-    if (!this.isListed) {
+    if (!this.isSynced) {
       return undefined;
     }
     const records = this.options.directory.all().map((entry) => entry.record);
@@ -125,8 +125,8 @@
 
   start(): void {
     this.timer = setInterval(() => {
-      this.probes.askDue();
-      this.missing.askDue();
+      this.probes.probeDue();
+      this.missing.probeDue();
     }, PROBE_TICK_MS);
     void this.watcher.run();
   }
@@ -141,37 +141,37 @@
   }
 
   /** Tells other nodes that the back end here is ready. */
-  announce(): void {
-    this.probes.announce();
+  announceReady(): void {
+    this.probes.announceReady();
   }
 
   /** A node that was heard of directly: it joins even if the store does not serve this node. */
   notePeer(sender: PeerSender, report: PeerReport | undefined): void {
-    const entry = this.options.directory.atAddress(sender.address);
+    const entry = this.options.directory.findByAddress(sender.address);
     if (entry && report) {
       this.noteReport(entry, report);
     }
-    if (!this.isListed && !this.isAsking && !this.stopped) {
+    if (!this.isSynced && !this.isAsking && !this.stopped) {
       this.isAsking = true;
-      void this.askOwners(sender.address).finally(() => {
+      void this.fetchOwnersFromPeer(sender.address).finally(() => {
         this.isAsking = false;
       });
     }
   }
 
   /** Takes the owners that another node knows; the store's list, once it comes, replaces them. */
-  private async askOwners(address: string): Promise<void> {
+  private async fetchOwnersFromPeer(address: string): Promise<void> {
     const bytes = await this.options.caller.directory(address, DIRECTORY_TIMEOUT_MS);
     const records = bytes && readOwnerRecords(bytes);
-    if (!records || this.isListed) {
+    if (!records || this.isSynced) {
       return;
     }
     const own = this.options.own().node;
     for (const record of records.filter(({ node }) => node !== own)) {
       this.options.directory.put(record);
     }
-    this.isTold = true;
-    this.options.onOwner(address, 'told', `${records.length} owners`);
+    this.hasPeerList = true;
+    this.options.onOwnerChange(address, 'told', `${records.length} owners`);
   }
 
   /** Publishes the own record if the store holds another one. */
@@ -213,7 +213,7 @@
       return;
     }
     if (hasLeft(object)) {
-      this.returned.noteGone(object.name, revision);
+      this.returned.noteAbsent(object.name, revision);
       this.noteLeft(object.name);
     } else {
       this.noteGone(object.name, revision);
@@ -222,7 +222,7 @@
 
   /** Nothing says yet whether the node is gone as well. */
   private noteGone(node: string, revision: number): void {
-    this.returned.noteGone(node, revision);
+    this.returned.noteAbsent(node, revision);
     this.missing.add(node);
   }
 
@@ -230,14 +230,14 @@
   private noteLeft(node: string): void {
     this.missing.remove(node);
     if (this.options.directory.remove(node)) {
-      this.options.onOwner(node, 'removed', 'left');
+      this.options.onOwnerChange(node, 'removed', 'left');
     }
     this.options.onLeft?.(node);
   }
 
   private forget(node: string): void {
     this.options.directory.remove(node);
-    this.options.onOwner(node, 'removed', 'store');
+    this.options.onOwnerChange(node, 'removed', 'store');
   }
 
   private take(object: StoredObject<OwnerRecord>): void {
@@ -254,7 +254,7 @@
       // What was known of the node holds.
       return;
     }
-    if (this.returned.take(object)) {
+    if (this.returned.verifyIfRestored(object)) {
       return;
     }
     if (hasLeft(object)) {
@@ -270,10 +270,10 @@
   }
 
   private noteReport(entry: OwnerEntry, report: PeerReport): void {
-    const before = entry.absence;
+    const before = entry.absenceReason;
     entry.noteReport(report, this.options.clock.now());
-    if (before && !entry.absence) {
-      this.options.onOwner(entry.record.node, 'ready', before);
+    if (before && !entry.absenceReason) {
+      this.options.onOwnerChange(entry.record.node, 'ready', before);
     }
     this.options.onReport(entry.record.address, report);
   }
--- a/src/directory/missingOwners.test.ts
+++ b/src/directory/missingOwners.test.ts
@@ -14,7 +14,7 @@
   });
   const askAt = async (now: number) => {
     state.now = now;
-    missing.askDue();
+    missing.probeDue();
     await new Promise((resolve) => setImmediate(resolve));
   };
   return { state, missing, askAt };
@@ -52,7 +52,7 @@
     expect(state.asked).toEqual([]);
     missing.add('b');
     state.now = 6_000;
-    missing.askDue();
+    missing.probeDue();
     missing.remove('b');
     await askAt(6_001);
     expect(state.forgotten).toEqual([]);
--- a/src/directory/missingOwners.ts
+++ b/src/directory/missingOwners.ts
@@ -22,7 +22,7 @@
   /** The owner's record is there. */
   remove(node: string): void;
   /** Asks those that are due. */
-  askDue(): void;
+  probeDue(): void;
 }
 
 export function createMissingOwners(context: MissingOwnersContext): MissingOwners {
@@ -45,7 +45,7 @@
     remove: (node) => {
       askAt.delete(node);
     },
-    askDue: () => {
+    probeDue: () => {
       const now = clock.now();
       for (const [node, due] of askAt) {
         if (now >= due) {
--- a/src/directory/ownRecord.test.ts
+++ b/src/directory/ownRecord.test.ts
@@ -15,7 +15,7 @@
     store: view,
     kind: KIND,
     own: () => ({ node: 'one', zone, address: '10.0.0.1:1' }) as unknown as OwnerRecord,
-    tellsLeaving: () => tellsLeaving,
+    marksDeparture: () => tellsLeaving,
     refresh: async () => {
       const object = stored();
       if (object) {
--- a/src/directory/ownRecord.ts
+++ b/src/directory/ownRecord.ts
@@ -13,7 +13,7 @@
   readonly kind: string;
   readonly own: () => OwnerRecord;
   /** True while other nodes go by whether this one has left: it costs a write more at a planned stop. */
-  readonly tellsLeaving: () => boolean;
+  readonly marksDeparture: () => boolean;
   /** Reads anew what the store holds. */
   readonly refresh: () => Promise<unknown>;
 }
@@ -31,7 +31,7 @@
 }
 
 export function createOwnRecord(context: OwnRecordContext): OwnRecord {
-  const { store, kind, own, tellsLeaving, refresh } = context;
+  const { store, kind, own, marksDeparture, refresh } = context;
   let revision: number | undefined;
   let published: OwnerRecord | undefined;
   let isPublishing = false;
@@ -89,7 +89,7 @@
         return;
       }
       const record = own();
-      if (tellsLeaving()) {
+      if (marksDeparture()) {
         // A record that is only gone may be that of a node which is cut off, and goes on.
         const spec: OwnerRecord = { ...record, hasLeft: true };
         const marked = await store.replace(kind, { name: record.node, revision, spec });
--- a/src/directory/owner-directory.test.ts
+++ b/src/directory/owner-directory.test.ts
@@ -26,8 +26,8 @@
   return directory.all().find((each) => each.record.node === node) as OwnerEntry;
 }
 
-function wish(priority: number, prefersZone = false) {
-  return { service: 'desk', priority, prefersZone };
+function wish(priority: number, prefersOwnZone = false) {
+  return { service: 'desk', priority, prefersOwnZone };
 }
 
 function chosen(directory: OwnerDirectory, now = 0, priority = 1): string | undefined {
@@ -38,7 +38,7 @@
   it('prefers the own zone and goes on to others when none there takes work', () => {
     const directory = directoryOf(record('1'), record('2', { zone: 'far' }));
     expect(chosen(directory)).toBe('1');
-    entry(directory, '1').noteTurnedAway('draining', 1, undefined, 0);
+    entry(directory, '1').noteRejection('draining', 1, undefined, 0);
     expect(chosen(directory)).toBe('2');
     expect(directory.choose(wish(1), new Set(directory.all()), 0)).toBeUndefined();
   });
@@ -70,7 +70,7 @@
 
   it('leaves a busy owner alone for a moment, but offers it what is more urgent', () => {
     const directory = directoryOf(record('1'));
-    entry(directory, '1').noteTurnedAway('busy', 2, 1_000, 0);
+    entry(directory, '1').noteRejection('busy', 2, 1_000, 0);
     expect(chosen(directory, 10, 2)).toBeUndefined();
     expect(chosen(directory, 10, 0)).toBe('1');
     expect(chosen(directory, 1_000, 2)).toBe('1');
@@ -78,7 +78,7 @@
 
   it('asks an absent owner again only once it has said that it is ready', () => {
     const directory = directoryOf(record('1'));
-    entry(directory, '1').makeAbsent('silent', 0);
+    entry(directory, '1').markAbsent('silent', 0);
     expect(chosen(directory, 60_000)).toBeUndefined();
     entry(directory, '1').noteReport(peerReport({ ready: false }), 60_000);
     expect(chosen(directory, 60_000)).toBeUndefined();
--- a/src/directory/owner-directory.ts
+++ b/src/directory/owner-directory.ts
@@ -25,15 +25,15 @@
 const BITS_PER_MS = 1_000;
 
 /** What is asked of an owner. */
-export interface OwnerWish {
+export interface OwnerCriteria {
   readonly service: string;
   readonly priority: number;
   /** True if an owner of the own zone is better than one elsewhere whose back end fails less. */
-  readonly prefersZone: boolean;
+  readonly prefersOwnZone: boolean;
   /** Size of the request's body, if it is worth considering. */
   readonly bodyBytes?: number;
   /** True if owners elsewhere are asked first: several of the own zone have had no room. */
-  readonly looksElsewhere?: boolean;
+  readonly prefersOtherZones?: boolean;
   /** What placement policies say of an owner; left out where there are none. */
   readonly mayServe?: ((record: OwnerRecord) => boolean) | undefined;
 }
@@ -69,7 +69,7 @@
   }
 
   /** The entry whose node listens at an address. */
-  atAddress(address: string): OwnerEntry | undefined {
+  findByAddress(address: string): OwnerEntry | undefined {
     return this.byAddress.get(address);
   }
 
@@ -83,7 +83,7 @@
     const outdated = this.byAddress.get(record.address);
     for (const old of new Set([known, outdated])) {
       if (old) {
-        this.take(old);
+        this.removeFromIndexes(old);
       }
     }
     const entry = this.createEntry(record);
@@ -98,7 +98,7 @@
     const entry = this.entries.get(node);
     if (entry) {
       entry.close();
-      this.take(entry);
+      this.removeFromIndexes(entry);
     }
     return entry !== undefined;
   }
@@ -109,13 +109,13 @@
   }
 
   /** The best owner for a task, or undefined when none is left. */
-  choose(wish: OwnerWish, tried: ReadonlySet<OwnerEntry>, now: number): OwnerEntry | undefined {
+  choose(wish: OwnerCriteria, tried: ReadonlySet<OwnerEntry>, now: number): OwnerEntry | undefined {
     const typicalMs = this.typicalMs(wish.service, now);
     let best: OwnerEntry | undefined;
     let bestGroup = Number.POSITIVE_INFINITY;
     let bestScore = Number.POSITIVE_INFINITY;
     for (const entry of this.ownersOf(wish.service)) {
-      if (tried.has(entry) || !entry.available(wish.priority, now)) {
+      if (tried.has(entry) || !entry.isAvailable(wish.priority, now)) {
         continue;
       }
       if (wish.mayServe && !wish.mayServe(entry.record)) {
@@ -142,12 +142,12 @@
    * The owner that has a role in a service: nodes that know the same owners name the same one, without
    * asking one another.
    */
-  designated(
-    { service, mayServe = () => true }: Pick<OwnerWish, 'service' | 'mayServe'>,
+  ownerForRole(
+    { service, mayServe = () => true }: Pick<OwnerCriteria, 'service' | 'mayServe'>,
     role: string,
   ): OwnerEntry | undefined {
     const present = this.ownersOf(service).filter(
-      (entry) => !entry.absence && mayServe(entry.record),
+      (entry) => !entry.absenceReason && mayServe(entry.record),
     );
     const [first] = rankNames(
       role,
@@ -157,10 +157,10 @@
   }
 
   /** Owners of a lower group are asked first: near ones, and those whose back ends do not fail. */
-  private groupOf(entry: OwnerEntry, wish: OwnerWish, now: number): number {
-    const away = this.isNear(entry) === (wish.looksElsewhere ?? false) ? 1 : 0;
+  private groupOf(entry: OwnerEntry, wish: OwnerCriteria, now: number): number {
+    const away = this.isInOwnZone(entry) === (wish.prefersOtherZones ?? false) ? 1 : 0;
     const failing = entry.isFailing(now) ? 1 : 0;
-    return wish.prefersZone ? 2 * away + failing : 2 * failing + away;
+    return wish.prefersOwnZone ? 2 * away + failing : 2 * failing + away;
   }
 
   /** Milliseconds for which a body takes up the links between this node and an owner. */
@@ -184,30 +184,30 @@
   }
 
   /** True for an owner in this node's zone. */
-  isNear(entry: Pick<OwnerEntry, 'record'>): boolean {
+  isInOwnZone(entry: Pick<OwnerEntry, 'record'>): boolean {
     return entry.record.zone === this.zone;
   }
 
   /** True while some owner in this node's zone that may serve is up, busy or not. */
-  hasNearOwner({
+  hasOwnerInOwnZone({
     service,
     mayServe = () => true,
-  }: Pick<OwnerWish, 'service' | 'mayServe'>): boolean {
+  }: Pick<OwnerCriteria, 'service' | 'mayServe'>): boolean {
     return this.ownersOf(service).some(
-      (entry) => this.isNear(entry) && !entry.absence && mayServe(entry.record),
+      (entry) => this.isInOwnZone(entry) && !entry.absenceReason && mayServe(entry.record),
     );
   }
 
   /** Milliseconds until some owner of a service may take a task again. */
-  restMs(service: string, now: number): number {
+  backoffMs(service: string, now: number): number {
     const rests = this.ownersOf(service)
-      .filter((entry) => !entry.absence)
-      .map((entry) => entry.restMs(now));
+      .filter((entry) => !entry.absenceReason)
+      .map((entry) => entry.backoffMs(now));
     return rests.length > 0 ? Math.min(...rests) : Number.POSITIVE_INFINITY;
   }
 
   /** Takes an entry out of every index. */
-  private take(entry: OwnerEntry): void {
+  private removeFromIndexes(entry: OwnerEntry): void {
     const { node, address, service } = entry.record;
     this.generation += 1;
     this.entries.delete(node);
--- a/src/directory/owner-entry.ts
+++ b/src/directory/owner-entry.ts
@@ -20,7 +20,7 @@
 }
 
 /** Why an owner is not asked. */
-export type Absence = 'no-back-end' | 'draining' | 'stopping' | 'other-service' | 'silent';
+export type AbsenceReason = 'no-back-end' | 'draining' | 'stopping' | 'other-service' | 'silent';
 
 /** A report tells nothing of the present load after this time, in milliseconds. */
 const REPORT_LIFETIME_MS = 1_000;
@@ -29,7 +29,7 @@
 const SERVICE_TIME_LIFETIME_MS = 4_000;
 
 /** An owner that turned a task away as busy is left alone at the most this long, in milliseconds. */
-const MAX_REST_MS = 60;
+const MAX_BACKOFF_MS = 60;
 
 /** A back end that fails this share of its tasks is asked after those that do not. */
 const FAILING_SHARE = 0.2;
@@ -44,7 +44,7 @@
 export class OwnerEntry {
   /** Tasks of this node that the owner has not finished. */
   outstanding = 0;
-  absence: Absence | undefined;
+  absenceReason: AbsenceReason | undefined;
   /** Steady time in milliseconds of the next status call while the owner is absent. */
   probeAt = 0;
   /** Status calls without success since the owner became absent. */
@@ -53,35 +53,35 @@
   private version: string | undefined;
   private reportedAt = Number.NEGATIVE_INFINITY;
   private outstandingAtReport = 0;
-  private restUntil = 0;
-  private restPriority = 0;
+  private backoffUntil = 0;
+  private backoffPriority = 0;
 
   constructor(
     readonly record: OwnerRecord,
     readonly owner: Owner,
     /** Present report of the owner on this very node; left out for the others. */
-    private readonly live?: () => PeerReport,
+    private readonly localReport?: () => PeerReport,
   ) {}
 
   /** True for the owner on this very node. */
   get isLocal(): boolean {
-    return this.live !== undefined;
+    return this.localReport !== undefined;
   }
 
   /** True when a task of this priority may be offered. */
-  available(priority: number, now: number): boolean {
-    if (this.absence) {
+  isAvailable(priority: number, now: number): boolean {
+    if (this.absenceReason) {
       return false;
     }
-    if (this.live) {
-      this.noteLoad(this.live(), now);
+    if (this.localReport) {
+      this.noteLoad(this.localReport(), now);
     }
-    return now >= this.restUntil || priority < this.restPriority;
+    return now >= this.backoffUntil || priority < this.backoffPriority;
   }
 
   /** Version of the back end's software, as last told: an owner that has started anew tells it late. */
   get backEndVersion(): string | undefined {
-    return this.live?.().backEndVersion ?? this.version;
+    return this.localReport?.().backEndVersion ?? this.version;
   }
 
   get slots(): number {
@@ -100,9 +100,9 @@
 
   /** Expected time in milliseconds until one more task would be done. Lower is better. */
   expectedMs(now: number, defaultServiceMs: number): number {
-    const belief = this.belief(now);
+    const reportWeight = this.reportWeight(now);
     const reportedMs = this.report?.meanServiceMs ?? defaultServiceMs;
-    const serviceMs = reportedMs * belief + defaultServiceMs * (1 - belief);
+    const serviceMs = reportedMs * reportWeight + defaultServiceMs * (1 - reportWeight);
     const onceMs = ((this.load(now) + 1) * serviceMs) / this.slots;
     // What fails has to be done again, if it can be: the time until it succeeds.
     return onceMs / (1 - Math.min(this.failureShare(now), MAX_FAILURE_SHARE));
@@ -110,7 +110,7 @@
 
   /** Share of its tasks that the owner's back end fails, as far as that is still believed. */
   failureShare(now: number): number {
-    return (this.report?.failureShare ?? 0) * this.belief(now);
+    return (this.report?.failureShare ?? 0) * this.reportWeight(now);
   }
 
   /** True while the back end fails so much that others are asked first. */
@@ -119,7 +119,7 @@
   }
 
   /** How far the last report is believed: from 1 to 0 as it grows old. */
-  private belief(now: number): number {
+  private reportWeight(now: number): number {
     return Math.max(0, 1 - (now - this.reportedAt) / SERVICE_TIME_LIFETIME_MS);
   }
 
@@ -131,7 +131,7 @@
   noteReport(report: PeerReport, now: number): void {
     this.noteLoad(report, now);
     if (report.ready && report.service === this.record.service) {
-      this.absence = undefined;
+      this.absenceReason = undefined;
       this.failedProbes = 0;
     }
   }
@@ -144,7 +144,7 @@
   }
 
   /** Takes note of a task that was turned away. */
-  noteTurnedAway(
+  noteRejection(
     reason: NotRunReason,
     priority: number,
     retryAfterMs: number | undefined,
@@ -152,30 +152,30 @@
   ): void {
     switch (reason) {
       case 'busy':
-        this.restUntil = now + Math.min(MAX_REST_MS, retryAfterMs ?? MAX_REST_MS);
-        this.restPriority = priority;
+        this.backoffUntil = now + Math.min(MAX_BACKOFF_MS, retryAfterMs ?? MAX_BACKOFF_MS);
+        this.backoffPriority = priority;
         return;
       case 'no-back-end':
       case 'draining':
       case 'stopping':
       case 'other-service':
-        this.makeAbsent(reason, now);
+        this.markAbsent(reason, now);
         return;
       case 'connect-failed':
       case 'other-instance':
-        this.makeAbsent('no-back-end', now);
+        this.markAbsent('no-back-end', now);
         return;
       default:
     }
   }
 
   /** The owner is not asked again until it has said that it is ready. */
-  makeAbsent(absence: Absence, now: number): void {
-    if (!this.absence) {
+  markAbsent(absence: AbsenceReason, now: number): void {
+    if (!this.absenceReason) {
       this.probeAt = now + FIRST_PROBE_MS;
       this.failedProbes = 0;
     }
-    this.absence = absence;
+    this.absenceReason = absence;
   }
 
   /** The owner is known no longer. */
@@ -184,8 +184,8 @@
   }
 
   /** Milliseconds until the owner may be asked again. */
-  restMs(now: number): number {
-    return Math.max(0, this.restUntil - now);
+  backoffMs(now: number): number {
+    return Math.max(0, this.backoffUntil - now);
   }
 }
 
--- a/src/directory/ownerWords.ts
+++ b/src/directory/ownerNotifier.ts
@@ -22,51 +22,51 @@
 const SAME_LIMIT_RENEWAL_MS = 2_000;
 
 /** A call that tells an owner something takes no longer, in milliseconds. */
-const TELL_TIMEOUT_MS = 500;
+const SEND_TIMEOUT_MS = 500;
 
 /** What is needed of the node. */
-export interface OwnerWordsContext {
+export interface OwnerNotifierContext {
   readonly clock: Clock;
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly directory: Pick<OwnerDirectory, 'ownersOf'>;
   readonly own: () => OwnerRecord;
   /** A limit of the owner here. */
-  readonly onOwnLimit: (news: LimitMessage) => void;
+  readonly onLocalLimit: (news: LimitMessage) => void;
 }
 
 /** What each count of an owner was told last, and when. */
-export type ToldLimits = Map<string, RunLimit & { readonly at: number }>;
+export type SentLimits = Map<string, RunLimit & { readonly at: number }>;
 
-export interface OwnerWords {
+export interface OwnerNotifier {
   /** Tells each owner of the plan its limit, if it is time to. */
-  tellLimits(rollout: RunningRollout, step: RolloutStep, toldLimits: ToldLimits): void;
+  sendLimits(rollout: RunningRollout, step: RolloutStep, toldLimits: SentLimits): void;
   /** Tells one owner something. */
-  tell(owner: OwnerEntry, news: RolloutMessage): void;
+  send(owner: OwnerEntry, news: RolloutMessage): void;
 }
 
-export function createOwnerWords(context: OwnerWordsContext): OwnerWords {
-  const { clock, caller, directory, own, onOwnLimit } = context;
+export function createOwnerNotifier(context: OwnerNotifierContext): OwnerNotifier {
+  const { clock, caller, directory, own, onLocalLimit } = context;
 
-  const tell = ({ record }: OwnerEntry, news: RolloutMessage): void => {
+  const send = ({ record }: OwnerEntry, news: RolloutMessage): void => {
     const content = encodeRolloutMessage(news);
     const message = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
-    void caller.sendAnnouncement(record.address, message, TELL_TIMEOUT_MS);
+    void caller.sendAnnouncement(record.address, message, SEND_TIMEOUT_MS);
   };
 
   const tellOwner = (news: LimitMessage): void => {
     if (news.node === own().node) {
-      onOwnLimit(news);
+      onLocalLimit(news);
       return;
     }
     const owner = directory.ownersOf(news.service).find(({ record }) => record.node === news.node);
     if (owner) {
-      tell(owner, news);
+      send(owner, news);
     }
   };
 
   return {
-    tell,
-    tellLimits: ({ order, phase }, { limits, isUnlimited }, toldLimits) => {
+    send,
+    sendLimits: ({ order, phase }, { limits, isUnlimited }, toldLimits) => {
       const { service, id: orderId } = order;
       const now = clock.now();
       for (const { node, countId, limit } of limits) {
--- a/src/directory/ownerProbes.ts
+++ b/src/directory/ownerProbes.ts
@@ -28,39 +28,39 @@
   readonly directory: OwnerDirectory;
   readonly own: () => OwnerRecord;
   /** Tells the own status to a node and asks for its; undefined when it does not answer. */
-  readonly askStatus: (address: string) => Promise<PeerReport | undefined>;
+  readonly exchangeStatus: (address: string) => Promise<PeerReport | undefined>;
   readonly onReport: (entry: OwnerEntry, report: PeerReport) => void;
 }
 
 export interface OwnerProbes {
   /** Asks the absent owners that are due, those of the own zone first. */
-  askDue(): void;
+  probeDue(): void;
   /**
    * Tells the nodes of the own zone and a few of the others that the back end here is ready. The
    * rest ask by themselves before long.
    */
-  announce(): void;
+  announceReady(): void;
   isAlive(node: string): Promise<boolean>;
 }
 
 export function createOwnerProbes(context: OwnerProbesContext): OwnerProbes {
-  const { clock, directory, own, askStatus, onReport } = context;
+  const { clock, directory, own, exchangeStatus, onReport } = context;
   const ask = async (entry: OwnerEntry): Promise<boolean> => {
-    const report = await askStatus(entry.record.address);
+    const report = await exchangeStatus(entry.record.address);
     if (report) {
       onReport(entry, report);
     }
     return report !== undefined;
   };
   return {
-    askDue: () => {
+    probeDue: () => {
       const now = clock.now();
       const due = directory
         .all()
-        .filter((entry) => entry.absence && !entry.isLocal && now >= entry.probeAt);
-      const near = due.filter((entry) => directory.isNear(entry));
+        .filter((entry) => entry.absenceReason && !entry.isLocal && now >= entry.probeAt);
+      const near = due.filter((entry) => directory.isInOwnZone(entry));
       const far = due
-        .filter((entry) => !directory.isNear(entry))
+        .filter((entry) => !directory.isInOwnZone(entry))
         .sort((left, right) => left.probeAt - right.probeAt);
       for (const entry of [...near, ...far.slice(0, FAR_PROBES_PER_LOOK)]) {
         entry.probeAt = now + probeWaitMs(entry.failedProbes);
@@ -68,14 +68,14 @@
         void ask(entry);
       }
     },
-    announce: () => {
+    announceReady: () => {
       const others = directory.all().filter((entry) => !entry.isLocal);
       const addressOf = (entry: OwnerEntry) => entry.record.address;
-      const near = others.filter((entry) => directory.isNear(entry)).map(addressOf);
-      const far = others.filter((entry) => !directory.isNear(entry)).map(addressOf);
+      const near = others.filter((entry) => directory.isInOwnZone(entry)).map(addressOf);
+      const far = others.filter((entry) => !directory.isInOwnZone(entry)).map(addressOf);
       // Each node tells others, so that together they reach all.
       for (const address of [...near, ...rankNames(own().node, far).slice(0, FAR_ANNOUNCED)]) {
-        void askStatus(address);
+        void exchangeStatus(address);
       }
     },
     isAlive: async (node) => {
--- a/src/directory/quarantineSync.ts
+++ b/src/directory/quarantineSync.ts
@@ -19,12 +19,12 @@
 } from '../quarantine/crashTracker.js';
 import type { CollectionHandler, WatchTiming } from '../source/collection-watcher.js';
 import type { ObjectStore } from '../source/object-store.js';
+import type { AnnouncementBroadcast } from './announcementBroadcast.js';
 import type { CrashedRequest } from './crashRecord.js';
 import { createCrashRecords } from './crashRecords.js';
-import type { NewsBroadcast } from './newsBroadcast.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerRecord } from './owner-entry.js';
-import { createRestoreTurns } from './restoreTurns.js';
+import { createStaggeredRepairs } from './staggeredRepairs.js';
 
 /** Pause between two looks for records that are of no use any more, in milliseconds. */
 const CLEANING_MS = 30_000;
@@ -38,11 +38,11 @@
   readonly store: ObjectStore;
   readonly ledger: CrashTracker;
   readonly directory: OwnerDirectory;
-  readonly broadcast: NewsBroadcast;
+  readonly broadcast: AnnouncementBroadcast;
   readonly own: () => OwnerRecord;
   readonly timing: WatchTiming;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
-  readonly onQuarantine: (
+  readonly onQuarantineChange: (
     key: RequestKey,
     change: QuarantineChange,
     origin: string,
@@ -56,16 +56,16 @@
   start(): void;
   stop(): void;
   /** Something was found out here. */
-  tell(news: CrashAnnouncement): void;
+  publish(news: CrashAnnouncement): void;
 }
 
 export function createQuarantineSync(context: QuarantineSyncContext): QuarantineSync {
   const { clock, store, ledger, directory, broadcast, own, timing, onConnected } = context;
-  const { onQuarantine, onUnreadable } = context;
+  const { onQuarantineChange, onUnreadable } = context;
   let cleaning: NodeJS.Timeout | undefined;
 
   const note = (key: RequestKey, change: QuarantineChange, origin: string): void =>
-    onQuarantine(key, change, origin, ledger.crashesOf(key.fingerprint));
+    onQuarantineChange(key, change, origin, ledger.crashesOf(key.fingerprint));
 
   const counted = (keys: readonly RequestKey[]): CrashedRequest[] =>
     keys
@@ -80,8 +80,8 @@
   const records = createCrashRecords({
     store,
     timing,
-    turns: createRestoreTurns({ own: () => own().node, nodes }),
-    isOfUse: ({ suspects }) => suspects.some(isSuspect),
+    repairs: createStaggeredRepairs({ own: () => own().node, nodes }),
+    isRelevant: ({ suspects }) => suspects.some(isSuspect),
     onRecord: ({ suspects, quarantined }) => {
       for (const key of suspects) {
         ledger.applySuspicion(key, key.crashes, clock.now());
@@ -128,7 +128,7 @@
     }
   };
 
-  broadcast.listen(AnnouncementTopic.Crashes, (content, from) => {
+  broadcast.subscribe(AnnouncementTopic.Crashes, (content, from) => {
     const news = decodeCrashAnnouncement(content);
     if (news) {
       noteQuarantined(ledger.applyAnnouncement(news, clock.now()), from);
@@ -146,8 +146,8 @@
       clearInterval(cleaning);
       records.stop();
     },
-    tell: (news) => {
-      broadcast.tell(AnnouncementTopic.Crashes, encodeCrashAnnouncement(news));
+    publish: (news) => {
+      broadcast.publish(AnnouncementTopic.Crashes, encodeCrashAnnouncement(news));
       noteQuarantined(news.quarantined, 'own');
       if (news.incarnation !== undefined) {
         // First crashes are of no use there: most of what was under way runs to its end at once.
--- a/src/directory/returnedRecords.ts
+++ b/src/directory/restoredRecords.ts
@@ -6,35 +6,35 @@
 import type { StoredObject } from '../source/object-store.js';
 import { mayBeLost } from '../source/storeRevision.js';
 import type { OwnerRecord } from './owner-entry.js';
-import type { RestoreTurns } from './restoreTurns.js';
+import type { StaggeredRepairs } from './staggeredRepairs.js';
 
 /** Nodes that are remembered after their records have gone: a day of restarts at the size to come. */
 const MAX_GONE = 2_000;
 
 /** What is needed of the directory's synchronisation. */
-export interface ReturnedRecordsContext {
-  readonly turns: RestoreTurns;
+export interface RestoredRecordsContext {
+  readonly repairs: StaggeredRepairs;
   readonly isAlive: (record: OwnerRecord) => Promise<boolean>;
   readonly remove: (name: string, revision: number) => void;
   /** The node is there. */
   readonly onAlive: (object: StoredObject<OwnerRecord>) => void;
 }
 
-export interface ReturnedRecords {
+export interface RestoredRecords {
   /** The store has no record of the node at this revision. */
-  noteGone(node: string, revision: number): void;
+  noteAbsent(node: string, revision: number): void;
   /** False if the record is no returned one: then it is to be taken at its word. */
-  take(object: StoredObject<OwnerRecord>): boolean;
+  verifyIfRestored(object: StoredObject<OwnerRecord>): boolean;
   stop(): void;
 }
 
-export function createReturnedRecords(context: ReturnedRecordsContext): ReturnedRecords {
-  const { turns, isAlive, remove, onAlive } = context;
+export function createRestoredRecords(context: RestoredRecordsContext): RestoredRecords {
+  const { repairs, isAlive, remove, onAlive } = context;
   /** Revision at which each was gone; the earliest first. */
   const gone = new Map<string, number>();
 
-  const noteGone = (node: string, revision: number): void => {
-    turns.pass(node);
+  const noteAbsent = (node: string, revision: number): void => {
+    repairs.cancel(node);
     gone.delete(node);
     gone.set(node, revision);
     const [oldest] = gone.keys();
@@ -52,12 +52,12 @@
     }
     // A node that lives, but not for this one, writes its record again: that one is taken at its word.
     gone.set(name, revision);
-    turns.take(name, () => remove(name, revision));
+    repairs.schedule(name, () => remove(name, revision));
   };
 
   return {
-    noteGone,
-    take: (object) => {
+    noteAbsent,
+    verifyIfRestored: (object) => {
       const goneAt = gone.get(object.name);
       if (goneAt !== undefined && mayBeLost(goneAt, object.revision)) {
         void ask(object);
@@ -66,6 +66,6 @@
       gone.delete(object.name);
       return false;
     },
-    stop: turns.stop,
+    stop: repairs.stop,
   };
 }
--- a/src/directory/rolloutSteering.test.ts
+++ b/src/directory/rolloutController.test.ts
@@ -10,7 +10,7 @@
 import { type RolloutOrder, RolloutPhase, RolloutState } from '../rollout/rolloutOrder.js';
 import { createRolloutTracker } from '../rollout/rolloutTracker.js';
 import type { OwnerEntry } from './owner-entry.js';
-import { createRolloutSteering } from './rolloutSteering.js';
+import { createRolloutController } from './rolloutController.js';
 
 const [FIRST = '', SECOND = ''] = rankNames('rollout/desk', ['node-1', 'node-2']);
 const ORDER: RolloutOrder = {
@@ -26,26 +26,26 @@
   let now = 0;
   let pending: RolloutState | undefined;
   const clock = { now: () => now };
-  const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
+  const rollouts = createRolloutTracker({ clock, staleMs: () => 3_000 });
   const told: PhaseMessage[] = [];
   const passedOn: string[] = [];
   const entries = [FIRST, SECOND].map((node) => ({
     record: { node, address: node, zone: 'zone-a' },
-    absence: undefined,
+    absenceReason: undefined,
     isLocal: node === name,
   })) as unknown as OwnerEntry[];
   const own = entries.find(({ isLocal }) => isLocal) as OwnerEntry;
-  const steering = createRolloutSteering({
+  const steering = createRolloutController({
     clock,
-    book,
+    rollouts,
     election: {
-      deciderOf: () => own,
-      isDecider: () => true,
-      noteDeaf: () => {},
+      leaderOf: () => own,
+      isLeader: () => true,
+      noteUnreachable: () => {},
       noteResigned: () => {},
     },
     directory: { all: () => entries, ownersOf: () => entries },
-    broadcast: { tell: () => {} },
+    broadcast: { publish: () => {} },
     caller: {
       sendAnnouncement: (address, { content }) => {
         if (decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence) {
@@ -60,21 +60,21 @@
     writer: () => ({ write: () => {}, pending: () => pending }),
     onPhase: (news) => {
       told.push(news);
-      book.applyPhase(news);
+      rollouts.applyPhase(news);
     },
-    onOwnLimit: () => {},
+    onLocalLimit: () => {},
     onChange: () => {},
   });
-  book.applyOrder(ORDER);
+  rollouts.applyOrder(ORDER);
   const steer = () => {
-    const rollout = book.running('desk');
+    const rollout = rollouts.running('desk');
     if (rollout) {
-      steering.steer(rollout);
+      steering.reconcile(rollout);
     }
   };
   return {
     steering,
-    book,
+    rollouts,
     told,
     passedOn,
     steer,
@@ -110,8 +110,8 @@
   // They took back each other's phases, and a good version was late: half of the owners told each of them.
   it('leaves the phases to the first by rank, and passes on what it is told', () => {
     const { steering, steer, told, passedOn } = setUp(SECOND);
-    steering.noteDecider('desk', FIRST);
-    steering.takeEvidence(EVIDENCE);
+    steering.noteLeader('desk', FIRST);
+    steering.receiveEvidence(EVIDENCE);
     steer();
     expect(told).toEqual([]);
     expect(passedOn).toEqual([FIRST]);
@@ -119,8 +119,8 @@
 
   it('decides as the first by rank, though the second has told a phase', () => {
     const { steering, steer, told, passedOn } = setUp(FIRST);
-    steering.noteDecider('desk', SECOND);
-    steering.takeEvidence(EVIDENCE);
+    steering.noteLeader('desk', SECOND);
+    steering.receiveEvidence(EVIDENCE);
     steer();
     expect(told.map(({ phase }) => phase)).toEqual([RolloutPhase.Watch]);
     expect(passedOn).toEqual([]);
@@ -128,12 +128,12 @@
 
   it('decides again when the other is silent for a while, or resigns', () => {
     const silent = setUp(SECOND);
-    silent.steering.noteDecider('desk', FIRST);
+    silent.steering.noteLeader('desk', FIRST);
     silent.pass(2_600);
     silent.steer();
     expect(silent.told.length).toBe(1);
     const resigned = setUp(SECOND);
-    resigned.steering.noteDecider('desk', FIRST);
+    resigned.steering.noteLeader('desk', FIRST);
     resigned.steering.noteResigned('desk', FIRST);
     resigned.steer();
     expect(resigned.told.length).toBe(1);
@@ -142,12 +142,12 @@
 
 // The others may be stopped as soon as the write arrives: what went back to them was cut.
 it('gives the others nothing new while the status of completion is being written', () => {
-  const { book, steering, steer, told, write } = setUp(FIRST);
+  const { rollouts, steering, steer, told, write } = setUp(FIRST);
   const phase = { service: 'desk', orderId: '1', ageMs: 0, versions: [] };
-  steering.takeEvidence(EVIDENCE);
-  book.applyPhase({ ...phase, phase: RolloutPhase.Shift });
+  steering.receiveEvidence(EVIDENCE);
+  rollouts.applyPhase({ ...phase, phase: RolloutPhase.Shift });
   write(RolloutState.Completed);
   steer();
   expect(told.filter((news) => news.phase === RolloutPhase.Watch)).toEqual([]);
-  expect(book.running('desk')?.phase).toBe(RolloutPhase.Shift);
+  expect(rollouts.running('desk')?.phase).toBe(RolloutPhase.Shift);
 });
--- a/src/directory/rolloutSteering.ts
+++ b/src/directory/rolloutController.ts
@@ -20,13 +20,17 @@
 } from '../rollout/rolloutOrder.js';
 import { type RolloutPlan, shareOf } from '../rollout/rolloutPlan.js';
 import { hasEnded, type RolloutTracker, type RunningRollout } from '../rollout/rolloutTracker.js';
-import type { NewsBroadcast } from './newsBroadcast.js';
+import type { AnnouncementBroadcast } from './announcementBroadcast.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry } from './owner-entry.js';
-import { createOwnerWords, type OwnerWordsContext, type ToldLimits } from './ownerWords.js';
+import {
+  createOwnerNotifier,
+  type OwnerNotifierContext,
+  type SentLimits,
+} from './ownerNotifier.js';
 import type { RolloutElection } from './rolloutElection.js';
-import { detailOf } from './rolloutLog.js';
-import type { RolloutStatusContext, RolloutStatusWriter } from './rolloutStatus.js';
+import { decisionLogFields } from './rolloutLog.js';
+import type { RolloutStatusWriter, RolloutStatusWriterContext } from './rolloutStatusWriter.js';
 
 /** A phase that lapses is told again so often, the others so that nodes know that the decider lives. */
 const LEASE_RENEWAL_MS = 500;
@@ -55,11 +59,11 @@
 }
 
 /** What is needed of the node. */
-export interface RolloutSteeringContext extends OwnerWordsContext {
-  readonly book: RolloutTracker;
+export interface RolloutControllerContext extends OwnerNotifierContext {
+  readonly rollouts: RolloutTracker;
   readonly election: RolloutElection;
   readonly directory: Pick<OwnerDirectory, 'all' | 'ownersOf'>;
-  readonly broadcast: Pick<NewsBroadcast, 'tell'>;
+  readonly broadcast: Pick<AnnouncementBroadcast, 'publish'>;
   readonly contactMs: () => number;
   readonly writer: () => RolloutStatusWriter;
   readonly bounds: () => ExposureBounds;
@@ -68,18 +72,18 @@
   readonly onChange: (change: RolloutChange) => void;
 }
 
-export interface RolloutSteering {
-  takeEvidence(evidence: EvidenceReport): void;
+export interface RolloutController {
+  receiveEvidence(evidence: EvidenceReport): void;
   /** Decides and carries out, if that falls to this node. */
-  steer(rollout: RunningRollout): void;
+  reconcile(rollout: RunningRollout): void;
   /** A phase that another node has told. */
-  noteDecider(service: string, node: string): void;
+  noteLeader(service: string, node: string): void;
   /** Another node no longer decides. */
   noteResigned(service: string, node: string): void;
   /** An order is gone: what is known of the versions is told once more, since its version gets nothing now. */
   noteRemoved(order: RolloutOrder): void;
   /** A status was written, or the store did not take it. */
-  noteWritten: RolloutStatusContext['onWritten'];
+  noteWritten: RolloutStatusWriterContext['onWritten'];
 }
 
 /** What is kept for an order that runs. */
@@ -93,12 +97,12 @@
   plan: RolloutPlan | undefined;
   reason: string;
   steppedAt: number;
-  readonly toldLimits: ToldLimits;
+  readonly toldLimits: SentLimits;
 }
 
-export function createRolloutSteering(context: RolloutSteeringContext): RolloutSteering {
-  const { clock, book, election, directory, broadcast, own, contactMs, writer } = context;
-  const words = createOwnerWords(context);
+export function createRolloutController(context: RolloutControllerContext): RolloutController {
+  const { clock, rollouts, election, directory, broadcast, own, contactMs, writer } = context;
+  const words = createOwnerNotifier(context);
   const works = new Map<string, OrderWork>();
   /** The node that has told a phase of a service's order last, besides this one. */
   const told = new Map<string, { readonly node: string; readonly at: number }>();
@@ -139,12 +143,12 @@
       orderId: order.id,
       phase,
       leader: own().node,
-      ageMs: book.running(order.service)?.ageMs ?? 0,
+      ageMs: rollouts.running(order.service)?.ageMs ?? 0,
       versions,
       ...(plan ? { plan } : {}),
     };
     context.onPhase(news);
-    broadcast.tell(AnnouncementTopic.Rollouts, encodeRolloutMessage(news));
+    broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage(news));
   };
 
   /** Another node is to decide: the store refuses this one's writes. */
@@ -152,7 +156,7 @@
     const { node } = own();
     const kind = RolloutMessageKind.Resignation;
     election.noteResigned(service, node);
-    broadcast.tell(AnnouncementTopic.Rollouts, encodeRolloutMessage({ kind, service, node }));
+    broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage({ kind, service, node }));
   };
 
   /**
@@ -166,13 +170,13 @@
     }
     const [first] = rankNames(`rollout/${service}`, [last.node, own().node]);
     const entry = directory.all().find(({ record }) => record.node === last.node);
-    return first === last.node && entry?.absence !== 'silent' ? entry : undefined;
+    return first === last.node && entry?.absenceReason !== 'silent' ? entry : undefined;
   };
 
   const ownersOf = (service: string) => ({
     up: directory
       .ownersOf(service)
-      .filter(({ absence }) => !absence)
+      .filter(({ absenceReason }) => !absenceReason)
       .map(({ record }) => record.node),
     contactMs: contactMs(),
   });
@@ -196,7 +200,7 @@
     } else if (phase === RolloutPhase.Halt) {
       writer().write(order, RolloutState.RolledBack);
     }
-    words.tellLimits(rollout, step, work.toldLimits);
+    words.sendLimits(rollout, step, work.toldLimits);
     // Until the status is written, the other versions get nothing and wait for their end.
     const isEnding = writer().pending(order.service) === RolloutState.Completed;
     const shown = phase === RolloutPhase.Done || isEnding ? RolloutPhase.Shift : phase;
@@ -205,11 +209,11 @@
     }
   };
 
-  const steer = (rollout: RunningRollout): void => {
+  const reconcile = (rollout: RunningRollout): void => {
     const { order, phase } = rollout;
     const work = workOf(rollout);
     const owners = ownersOf(order.service);
-    const isTold = election.isDecider(order.service) || work.decider.hasReportQuorum(owners);
+    const isTold = election.isLeader(order.service) || work.decider.hasReportQuorum(owners);
     if (!isTold || deciderBefore(order.service)) {
       return;
     }
@@ -221,33 +225,40 @@
     const step = work.decider.step(rollout, owners, { bounds: bounds(), storeMs });
     if (step.reason !== work.reason || step.phase !== phase) {
       work.reason = step.reason;
-      context.onChange({ service: order.service, change: 'decision', detail: detailOf(step) });
+      context.onChange({
+        service: order.service,
+        change: 'decision',
+        detail: decisionLogFields(step),
+      });
     }
     carryOut(rollout, step, work);
   };
 
   return {
-    takeEvidence: (evidence) => {
-      const rollout = book.running(evidence.service);
+    receiveEvidence: (evidence) => {
+      const rollout = rollouts.running(evidence.service);
       const decider = deciderBefore(evidence.service);
       if (decider) {
-        words.tell(decider, evidence);
+        words.send(decider, evidence);
       }
       if (rollout?.order.id === evidence.orderId) {
-        book.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
+        rollouts.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
         const work = workOf(rollout);
-        work.decider.addReport(evidence, book.running(evidence.service)?.ageMs ?? evidence.ageMs);
+        work.decider.addReport(
+          evidence,
+          rollouts.running(evidence.service)?.ageMs ?? evidence.ageMs,
+        );
         // In the last step each moment sends the version all that comes.
         if (
           rollout.phase === RolloutPhase.Shift &&
           clock.now() - work.steppedAt >= SHORTEST_STEP_MS
         ) {
-          steer(rollout);
+          reconcile(rollout);
         }
       }
     },
-    steer,
-    noteDecider: (service, node) => {
+    reconcile,
+    noteLeader: (service, node) => {
       if (node !== own().node) {
         told.set(service, { node, at: clock.now() });
       }
@@ -259,7 +270,7 @@
     },
     noteRemoved: (order) => {
       const work = works.get(order.service);
-      if (work && election.isDecider(order.service)) {
+      if (work && election.isLeader(order.service)) {
         // Watch is the least that a node which still holds the order may give the version.
         tellPhase(order, RolloutPhase.Watch);
       }
--- a/src/directory/rolloutElection.ts
+++ b/src/directory/rolloutElection.ts
@@ -8,7 +8,7 @@
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
 /** A node that did not take a report is passed over for so long, in milliseconds. */
-const DEAF_MS = 3_000;
+const UNREACHABLE_MS = 3_000;
 
 /** And one that the store has refused: so long a store may go on refusing some nodes only. */
 const RESIGNED_MS = 5_000;
@@ -22,11 +22,11 @@
 
 export interface RolloutElection {
   /** Undefined while this node knows of none, itself included. */
-  deciderOf(service: string): OwnerEntry | undefined;
+  leaderOf(service: string): OwnerEntry | undefined;
   /** True if this node is the first. */
-  isDecider(service: string): boolean;
+  isLeader(service: string): boolean;
   /** A node has not taken a report. */
-  noteDeaf(node: string): void;
+  noteUnreachable(node: string): void;
   /** A node says that the store refuses its writes. */
   noteResigned(service: string, node: string): void;
 }
@@ -36,14 +36,14 @@
   const deafUntil = new Map<string, number>();
   const resignedUntil = new Map<string, number>();
 
-  const mayDecide = (service: string, { record, isLocal, absence }: OwnerEntry): boolean => {
+  const mayDecide = (service: string, { record, isLocal, absenceReason }: OwnerEntry): boolean => {
     const now = clock.now();
     const { node } = record;
-    const isUp = isLocal || (absence !== 'silent' && now >= (deafUntil.get(node) ?? 0));
+    const isUp = isLocal || (absenceReason !== 'silent' && now >= (deafUntil.get(node) ?? 0));
     return isUp && now >= (resignedUntil.get(`${service} ${node}`) ?? 0);
   };
 
-  const deciderOf = (service: string): OwnerEntry | undefined => {
+  const leaderOf = (service: string): OwnerEntry | undefined => {
     const able = directory.all().filter((entry) => mayDecide(service, entry));
     const names = able.map(({ record }) => record.node);
     const [first] = rankNames(`rollout/${service}`, names);
@@ -51,10 +51,10 @@
   };
 
   return {
-    deciderOf,
-    isDecider: (service) => deciderOf(service)?.record.node === own().node,
-    noteDeaf: (node) => {
-      deafUntil.set(node, clock.now() + DEAF_MS);
+    leaderOf,
+    isLeader: (service) => leaderOf(service)?.record.node === own().node,
+    noteUnreachable: (node) => {
+      deafUntil.set(node, clock.now() + UNREACHABLE_MS);
     },
     noteResigned: (service, node) => {
       resignedUntil.set(`${service} ${node}`, clock.now() + RESIGNED_MS);
--- a/src/directory/rolloutLog.ts
+++ b/src/directory/rolloutLog.ts
@@ -4,7 +4,7 @@
 import { RolloutPhase } from '../rollout/rolloutOrder.js';
 
 /** A decision's inputs, for the log. */
-export function detailOf(step: RolloutStep): Readonly<Record<string, unknown>> {
+export function decisionLogFields(step: RolloutStep): Readonly<Record<string, unknown>> {
   const { phase, reason, facts, newestEvidenceMs, oldestEvidenceMs } = step;
   const { comparison, phase: before, routes, exposure, isFenced, ...numbers } = facts;
   const rounded = Object.entries({ ...numbers, newestEvidenceMs, oldestEvidenceMs }).map(
--- a/src/directory/rolloutOrders.ts
+++ b/src/directory/rolloutOrders.ts
@@ -9,7 +9,7 @@
 import type { RolloutTracker } from '../rollout/rolloutTracker.js';
 import type { StoredObject } from '../source/object-store.js';
 import { mayBeLost } from '../source/storeRevision.js';
-import type { RestoreTurns } from './restoreTurns.js';
+import type { StaggeredRepairs } from './staggeredRepairs.js';
 
 /**
  * An order that is lost is held for so long, in milliseconds: operators write again what is lost as soon as they
@@ -23,12 +23,12 @@
 /** What is needed of the node. */
 export interface RolloutOrdersContext {
   readonly clock: Clock;
-  readonly book: RolloutTracker;
-  readonly turns: RestoreTurns;
+  readonly rollouts: RolloutTracker;
+  readonly repairs: StaggeredRepairs;
   readonly decode: (object: StoredObject<unknown>) => RolloutOrder | undefined;
   readonly write: (order: RolloutOrder, state: RolloutState) => void;
   /** The book has taken an order, or another state of it. */
-  readonly onTaken: (order: RolloutOrder, revision: number) => void;
+  readonly onApplied: (order: RolloutOrder, revision: number) => void;
   readonly onLost: (service: string) => void;
   /** The order stands no longer; undefined unless it was running. */
   readonly onRemoved: (service: string, running: RolloutOrder | undefined) => void;
@@ -36,14 +36,14 @@
 
 export interface RolloutOrders {
   /** The newest version of an order's object that this node has read. */
-  held(service: string): StoredObject<unknown> | undefined;
-  take(object: StoredObject<unknown>): void;
+  lastRead(service: string): StoredObject<unknown> | undefined;
+  apply(object: StoredObject<unknown>): void;
   /** The store has had the object at one revision, and has it no longer at another. */
-  takeAbsence(service: string, had: number, revision: number): void;
+  noteAbsent(service: string, had: number, revision: number): void;
   /** All that the store holds, at a revision. */
-  takeList(objects: readonly StoredObject<unknown>[], revision: number): void;
+  applyList(objects: readonly StoredObject<unknown>[], revision: number): void;
   /** Has what the store has lost written again, and gives up what is not written again. */
-  look(): void;
+  repairLost(): void;
 }
 
 interface Lost {
@@ -55,7 +55,7 @@
 }
 
 export function createRolloutOrders(context: RolloutOrdersContext): RolloutOrders {
-  const { clock, book, turns, decode, write, onTaken, onLost, onRemoved } = context;
+  const { clock, rollouts, repairs, decode, write, onApplied, onLost, onRemoved } = context;
   const held = new Map<string, StoredObject<unknown>>();
   const lost = new Map<string, Lost>();
   /** Orders that others have followed. */
@@ -72,12 +72,12 @@
   const remove = (service: string): void => {
     held.delete(service);
     lost.delete(service);
-    const running = book.running(service)?.order;
-    book.remove(service);
+    const running = rollouts.running(service)?.order;
+    rollouts.remove(service);
     onRemoved(service, running);
   };
 
-  const take = (object: StoredObject<unknown>): void => {
+  const apply = (object: StoredObject<unknown>): void => {
     const { name: service, revision } = object;
     const order = decode(object);
     const seen = held.get(service)?.revision ?? lost.get(service)?.revision;
@@ -96,12 +96,12 @@
     }
     lost.delete(service);
     held.set(service, object);
-    if (isRestored ? book.applyRestoredOrder(order) : book.applyOrder(order)) {
-      onTaken(order, revision);
+    if (isRestored ? rollouts.applyRestoredOrder(order) : rollouts.applyOrder(order)) {
+      onApplied(order, revision);
     }
   };
 
-  const takeAbsence = (service: string, had: number, revision: number): void => {
+  const noteAbsent = (service: string, had: number, revision: number): void => {
     const object = held.get(service);
     if (object && mayBeLost(had, revision)) {
       lose(service, object.revision);
@@ -113,7 +113,7 @@
   const giveUp = (service: string, { instead }: Lost): void => {
     remove(service);
     if (instead) {
-      take(instead);
+      apply(instead);
     }
   };
 
@@ -121,15 +121,15 @@
   const lookAtStatus = (service: string): void => {
     const object = held.get(service);
     const order = object && decode(object);
-    const end = book.endStateOf(service);
+    const end = rollouts.endStateOf(service);
     if (!order || !end || order.state === end) {
-      turns.pass(service);
+      repairs.cancel(service);
       rewriting.delete(service);
       return;
     }
     if (!rewriting.has(service)) {
       rewriting.add(service);
-      turns.take(service, () => {
+      repairs.schedule(service, () => {
         rewriting.delete(service);
         write(order, end);
       });
@@ -137,20 +137,20 @@
   };
 
   return {
-    held: (service) => held.get(service),
-    take,
-    takeAbsence,
-    takeList: (objects, revision) => {
+    lastRead: (service) => held.get(service),
+    apply,
+    noteAbsent,
+    applyList: (objects, revision) => {
       const present = new Set(objects.map(({ name }) => name));
       for (const { name, revision: had } of [...held.values()]) {
         if (!present.has(name)) {
-          takeAbsence(name, had, revision);
+          noteAbsent(name, had, revision);
         }
       }
-      objects.forEach(take);
+      objects.forEach(apply);
     },
-    look: () => {
-      book.services.forEach(lookAtStatus);
+    repairLost: () => {
+      rollouts.services.forEach(lookAtStatus);
       for (const [service, each] of lost) {
         if (clock.now() - each.since > LOST_ORDER_MS) {
           giveUp(service, each);
--- a/src/directory/rolloutReporter.test.ts
+++ b/src/directory/rolloutReporter.test.ts
@@ -17,34 +17,34 @@
 
 interface Setup {
   readonly version?: string;
-  readonly isAlone?: boolean;
+  readonly isSoleVersion?: boolean;
 }
 
-function setUp({ version = 'v2', isAlone = false }: Setup = {}) {
+function setUp({ version = 'v2', isSoleVersion = false }: Setup = {}) {
   let now = 0;
   let countId = '';
   const clock = { now: () => now };
-  const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
+  const rollouts = createRolloutTracker({ clock, staleMs: () => 3_000 });
   const reporter = createRolloutReporter({
     clock,
-    book,
+    rollouts,
     election: {
-      deciderOf: () => undefined,
-      isDecider: () => true,
-      noteDeaf: () => {},
+      leaderOf: () => undefined,
+      isLeader: () => true,
+      noteUnreachable: () => {},
       noteResigned: () => {},
     },
     caller: { sendAnnouncement: () => Promise.resolve(true) },
     own: () => NODE,
     backEnd: () => ({ service: 'desk', version, isReady: true, slots: 8, load: 0 }),
-    isAlone: () => isAlone,
-    onOwnEvidence: (evidence) => {
+    isSoleVersion: () => isSoleVersion,
+    onLocalEvidence: (evidence) => {
       countId = evidence.countId;
     },
   });
   const takeOrder = (state = RolloutState.Running) => {
-    book.applyOrder({ ...ORDER, state });
-    reporter.reportPhase('desk');
+    rollouts.applyOrder({ ...ORDER, state });
+    reporter.reportPhaseChange('desk');
   };
   const allow = (limit: number, more: Partial<LimitMessage> = {}) => {
     const news: LimitMessage = {
@@ -56,12 +56,13 @@
       limit,
       isUnlimited: false,
     };
-    reporter.takeLimit({ ...news, ...more });
+    reporter.applyLimit({ ...news, ...more });
   };
   /** Requests of ten that are let through. */
-  const passed = () => Array.from({ length: 10 }, () => reporter.enter()).filter(Boolean).length;
+  const passed = () =>
+    Array.from({ length: 10 }, () => reporter.acquirePermit()).filter(Boolean).length;
   return {
-    book,
+    rollouts,
     reporter,
     takeOrder,
     allow,
@@ -100,14 +101,14 @@
   const { reporter, takeOrder, allow, passed } = setUp();
   takeOrder();
   allow(2);
-  reporter.enter()?.finish(false);
-  reporter.enter()?.finish(true);
+  reporter.acquirePermit()?.finish(false);
+  reporter.acquirePermit()?.finish(true);
   expect(passed()).toBe(1);
 });
 
 // Requests were refused until the first word where an order came for a version that alone served.
 it('holds nothing back before the first word where no other version serves', () => {
-  const { takeOrder, allow, passed } = setUp({ isAlone: true });
+  const { takeOrder, allow, passed } = setUp({ isSoleVersion: true });
   takeOrder();
   expect(passed()).toBe(10);
   allow(3);
@@ -132,16 +133,16 @@
 
 // They turned requests away that nobody else took while the version's limits still stood.
 it('gives another version nothing new in the last step once it is fenced', () => {
-  const { book, takeOrder, passed } = setUp({ version: 'v1' });
+  const { rollouts, takeOrder, passed } = setUp({ version: 'v1' });
   takeOrder();
   expect(passed()).toBe(10);
   const phase = RolloutPhase.Shift;
   const word = { service: 'desk', orderId: '1', ageMs: 0, phase };
-  book.applyPhase(word);
+  rollouts.applyPhase(word);
   expect(passed()).toBe(0);
   const plan = { shares: new Map(), owners: new Set(['node-2']) };
-  book.applyPhase({ ...word, plan: { ...plan, isFenced: false } });
+  rollouts.applyPhase({ ...word, plan: { ...plan, isFenced: false } });
   expect(passed()).toBe(10);
-  book.applyPhase({ ...word, plan: { ...plan, isFenced: true } });
+  rollouts.applyPhase({ ...word, plan: { ...plan, isFenced: true } });
   expect(passed()).toBe(0);
 });
--- a/src/directory/rolloutReporter.ts
+++ b/src/directory/rolloutReporter.ts
@@ -33,10 +33,10 @@
 const LEASED_OTHER_REPORT_MS = 250;
 
 /** A call that tells a decider takes no longer, in milliseconds. */
-const TELL_TIMEOUT_MS = 500;
+const SEND_TIMEOUT_MS = 500;
 
 /** What the back end here is now. */
-export interface OwnBackEnd {
+export interface LocalBackEnd {
   readonly service: string | undefined;
   readonly version: string | undefined;
   readonly isReady: boolean;
@@ -48,28 +48,28 @@
 /** What is needed of the node. */
 export interface RolloutReporterContext {
   readonly clock: Clock;
-  readonly book: RolloutTracker;
+  readonly rollouts: RolloutTracker;
   readonly election: RolloutElection;
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly own: () => OwnerRecord;
-  readonly backEnd: () => OwnBackEnd;
+  readonly backEnd: () => LocalBackEnd;
   /** True if all other owners of the service are known to have the version. */
-  readonly isAlone: (service: string, version: string) => boolean;
+  readonly isSoleVersion: (service: string, version: string) => boolean;
   /** This node is the decider itself. */
-  readonly onOwnEvidence: (evidence: EvidenceReport) => void;
+  readonly onLocalEvidence: (evidence: EvidenceReport) => void;
 }
 
 export interface RolloutReporter {
   /** The back end here has ended a request. */
-  noteRun(run: BackEndRun): void;
+  recordRun(run: BackEndRun): void;
   /** Tells the decider, if it is time to. */
   report(rollout: RunningRollout): void;
   /** Tells the decider now, of a phase that is new here. */
-  reportPhase(service: string): void;
+  reportPhaseChange(service: string): void;
   /** The decider's word on how many requests the back end here may get. */
-  takeLimit(news: LimitMessage): void;
+  applyLimit(news: LimitMessage): void;
   /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
-  enter(): RunPermit | undefined;
+  acquirePermit(): RunPermit | undefined;
 }
 
 /** What is kept for an order that runs. */
@@ -84,7 +84,8 @@
 }
 
 export function createRolloutReporter(context: RolloutReporterContext): RolloutReporter {
-  const { clock, book, election, caller, own, backEnd, isAlone, onOwnEvidence } = context;
+  const { clock, rollouts, election, caller, own, backEnd, isSoleVersion, onLocalEvidence } =
+    context;
   const kept = new Map<string, OrderCounts>();
 
   const countsOf = ({
@@ -109,7 +110,7 @@
   };
 
   const isFencedBy = (service: string, version: string | undefined): boolean => {
-    const view = book.view(service);
+    const view = rollouts.view(service);
     if (!view || version === undefined || version === view.order.targetVersion) {
       return false;
     }
@@ -123,16 +124,16 @@
   };
 
   const send = (evidence: EvidenceReport): void => {
-    const decider = election.deciderOf(evidence.service);
+    const decider = election.leaderOf(evidence.service);
     if (!decider || decider.isLocal) {
-      onOwnEvidence(evidence);
+      onLocalEvidence(evidence);
       return;
     }
     const content = encodeRolloutMessage(evidence);
     const news = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
-    void caller.sendAnnouncement(decider.record.address, news, TELL_TIMEOUT_MS).then((isTaken) => {
+    void caller.sendAnnouncement(decider.record.address, news, SEND_TIMEOUT_MS).then((isTaken) => {
       if (!isTaken) {
-        election.noteDeaf(decider.record.node);
+        election.noteUnreachable(decider.record.node);
       }
     });
   };
@@ -175,7 +176,7 @@
   /** The order of the service that the back end here has, while it runs. */
   const ownRollout = (): RunningRollout | undefined => {
     const { service } = backEnd();
-    return service === undefined ? undefined : book.running(service);
+    return service === undefined ? undefined : rollouts.running(service);
   };
 
   /** The last request of a back end that is to stop: the decider waits for this word. */
@@ -193,7 +194,7 @@
    * yet whose version alone serves as the order comes.
    */
   const gateOf = (service: string, version: string | undefined): RunLimiter | undefined => {
-    const view = book.view(service);
+    const view = rollouts.view(service);
     const isOfTarget = view !== undefined && version === view.order.targetVersion;
     if (!isOfTarget || view.ageMs >= view.order.durationMs) {
       return undefined;
@@ -204,12 +205,12 @@
       return isCompleted && known?.generation === view.generation ? known.gate : undefined;
     }
     const { gate } = countsOf(view);
-    return gate.hasLimit || !isAlone(service, view.order.targetVersion) ? gate : undefined;
+    return gate.hasLimit || !isSoleVersion(service, view.order.targetVersion) ? gate : undefined;
   };
 
   return {
-    noteRun: (run) => {
-      const rollout = book.running(run.service);
+    recordRun: (run) => {
+      const rollout = rollouts.running(run.service);
       if (rollout) {
         countsOf(rollout).counts.record(run, clock.now());
       }
@@ -226,14 +227,14 @@
         reportNow(rollout);
       }
     },
-    reportPhase: (service) => {
+    reportPhaseChange: (service) => {
       const rollout = ownRollout();
       if (rollout?.order.service === service) {
         reportNow(rollout);
       }
     },
-    takeLimit: ({ service, orderId, node, countId, limit, isUnlimited }) => {
-      const view = book.view(service);
+    applyLimit: ({ service, orderId, node, countId, limit, isUnlimited }) => {
+      const view = rollouts.view(service);
       if (view?.order.id !== orderId || node !== own().node) {
         return;
       }
@@ -242,7 +243,7 @@
         mine.gate.raiseLimit({ limit, isUnlimited });
       }
     },
-    enter: () => {
+    acquirePermit: () => {
       const { service, version } = backEnd();
       if (service === undefined) {
         return UNCONDITIONAL_PERMIT;
--- a/src/directory/rolloutStatus.model.test.ts
+++ b/src/directory/rolloutStatusWriter.model.test.ts
@@ -8,7 +8,7 @@
 import { decodeRollout, PLATFORM_ROLLOUTS, ROLLOUT_KIND } from '../../platform/rollouts.js';
 import { type RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
 import type { ObjectStore, StoredObject, StoreResult } from '../source/object-store.js';
-import { createRolloutStatusWriter } from './rolloutStatus.js';
+import { createRolloutStatusWriter } from './rolloutStatusWriter.js';
 
 const NODES = 3;
 
@@ -123,8 +123,8 @@
     const writer = createRolloutStatusWriter({
       clock: { now: () => 0 },
       store,
-      objects: PLATFORM_ROLLOUTS,
-      held: () => held,
+      codec: PLATFORM_ROLLOUTS,
+      lastRead: () => held,
       onRead: (_service, object) => {
         held = object;
       },
--- a/src/directory/rolloutStatus.test.ts
+++ b/src/directory/rolloutStatusWriter.test.ts
@@ -4,7 +4,7 @@
 import { PLATFORM_ROLLOUTS, ROLLOUT_KIND } from '../../platform/rollouts.js';
 import { type RolloutOrder, RolloutState } from '../rollout/rolloutOrder.js';
 import type { StoredObject } from '../source/object-store.js';
-import { createRolloutStatusWriter } from './rolloutStatus.js';
+import { createRolloutStatusWriter } from './rolloutStatusWriter.js';
 
 const SPEC = { service: 'desk', 'target-version': 'v2', 'duration-s': 12 };
 
@@ -20,8 +20,8 @@
     const writer = createRolloutStatusWriter({
       clock: { now: () => 0 },
       store: view,
-      objects: PLATFORM_ROLLOUTS,
-      held: () => held,
+      codec: PLATFORM_ROLLOUTS,
+      lastRead: () => held,
       onRead: (_service, object) => {
         held = object;
       },
--- a/src/directory/rolloutStatus.ts
+++ b/src/directory/rolloutStatusWriter.ts
@@ -7,7 +7,7 @@
 import type { ObjectStore, StoredObject, StoreFailure } from '../source/object-store.js';
 
 /** How a deployment spells orders and their status. */
-export interface RolloutObjects {
+export interface RolloutCodec {
   readonly kind: string;
   /** Undefined for an object that is no order. */
   readonly decode: (object: StoredObject<unknown>) => RolloutOrder | undefined;
@@ -19,12 +19,12 @@
 }
 
 /** What is needed of the node. */
-export interface RolloutStatusContext {
+export interface RolloutStatusWriterContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  readonly objects: RolloutObjects;
+  readonly codec: RolloutCodec;
   /** The newest version of an order's object that this node has read. */
-  readonly held: (service: string) => StoredObject<unknown> | undefined;
+  readonly lastRead: (service: string) => StoredObject<unknown> | undefined;
   /** The object as it is now, or that there is none. */
   readonly onRead: (service: string, object: StoredObject<unknown> | undefined) => void;
   /** The call to the store took so many milliseconds. */
@@ -43,12 +43,14 @@
   pending(service: string): RolloutState | undefined;
 }
 
-export function createRolloutStatusWriter(context: RolloutStatusContext): RolloutStatusWriter {
-  const { clock, store, objects, held, onRead, onWritten } = context;
+export function createRolloutStatusWriter(
+  context: RolloutStatusWriterContext,
+): RolloutStatusWriter {
+  const { clock, store, codec, lastRead, onRead, onWritten } = context;
   const writing = new Map<string, RolloutState>();
 
   const readAnew = async (service: string): Promise<void> => {
-    const result = await store.get<unknown>(objects.kind, service);
+    const result = await store.get<unknown>(codec.kind, service);
     if (result.ok) {
       onRead(service, result.value);
     } else if (result.failure === 'not-found') {
@@ -58,14 +60,14 @@
 
   const writeOnce = async (order: RolloutOrder, state: RolloutState): Promise<void> => {
     const { service, targetVersion } = order;
-    const object = held(service);
-    const known = object && objects.decode(object);
+    const object = lastRead(service);
+    const known = object && codec.decode(object);
     if (!object || known?.id !== order.id || !mayFollow(known.state, state)) {
       return;
     }
-    const status = objects.encodeStatus({ targetVersion, state });
+    const status = codec.encodeStatus({ targetVersion, state });
     const startedAt = clock.now();
-    const result = await store.replaceStatus<unknown>(objects.kind, object, status);
+    const result = await store.replaceStatus<unknown>(codec.kind, object, status);
     const tookMs = clock.now() - startedAt;
     if (result.ok) {
       onRead(service, result.value);
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -21,15 +21,15 @@
 import type { RunPermit } from '../rollout/runLimiter.js';
 import { type CollectionHandler, CollectionWatcher } from '../source/collection-watcher.js';
 import type { ObjectStore } from '../source/object-store.js';
-import type { NewsBroadcast } from './newsBroadcast.js';
+import type { AnnouncementBroadcast } from './announcementBroadcast.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
-import { createRestoreTurns } from './restoreTurns.js';
+import { createRolloutController, type RolloutChange } from './rolloutController.js';
 import { createRolloutElection } from './rolloutElection.js';
 import { createRolloutOrders } from './rolloutOrders.js';
-import { createRolloutReporter, type OwnBackEnd } from './rolloutReporter.js';
-import { createRolloutStatusWriter, type RolloutObjects } from './rolloutStatus.js';
-import { createRolloutSteering, type RolloutChange } from './rolloutSteering.js';
+import { createRolloutReporter, type LocalBackEnd } from './rolloutReporter.js';
+import { createRolloutStatusWriter, type RolloutCodec } from './rolloutStatusWriter.js';
+import { createStaggeredRepairs } from './staggeredRepairs.js';
 
 /** Pause between two looks at what is to be told and decided while an order runs, in milliseconds. */
 const TICK_MS = 125;
@@ -45,12 +45,12 @@
 export interface RolloutSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  readonly objects: RolloutObjects;
+  readonly codec: RolloutCodec;
   readonly directory: OwnerDirectory;
-  readonly broadcast: NewsBroadcast;
+  readonly broadcast: AnnouncementBroadcast;
   readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
-  readonly backEnd: () => OwnBackEnd;
+  readonly backEnd: () => LocalBackEnd;
   readonly contactMs: () => number;
   readonly bounds: () => ExposureBounds;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
@@ -60,20 +60,20 @@
 export interface RolloutSync {
   start(): void;
   stop(): void;
-  readonly book: RolloutTracker;
+  readonly rollouts: RolloutTracker;
   /** The back end here has ended a request. */
-  noteRun(run: BackEndRun): void;
+  recordRun(run: BackEndRun): void;
   /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
-  enter(): RunPermit | undefined;
+  acquirePermit(): RunPermit | undefined;
   /** The version of a node's back end by the decider's word. */
-  toldVersion(node: string): string | undefined;
+  announcedVersion(node: string): string | undefined;
 }
 
 export function createRolloutSync(context: RolloutSyncContext): RolloutSync {
-  const { clock, store, objects, directory, broadcast, own, contactMs, onChange } = context;
-  const book = createRolloutTracker({ clock, staleMs: contactMs });
+  const { clock, store, codec, directory, broadcast, own, contactMs, onChange } = context;
+  const rollouts = createRolloutTracker({ clock, staleMs: contactMs });
   const election = createRolloutElection(context);
-  const turns = createRestoreTurns({
+  const repairs = createStaggeredRepairs({
     own: () => own().node,
     nodes: () => directory.all().map(({ record }) => record.node),
   });
@@ -84,39 +84,39 @@
     for (const [node, version] of news.versions) {
       toldVersions.set(node, version);
     }
-    if (book.applyPhase(news)) {
+    if (rollouts.applyPhase(news)) {
       const { service, phase } = news;
       onChange({ service, change: 'phase', detail: { phase: RolloutPhase[phase], from } });
-      reporter.reportPhase(service);
+      reporter.reportPhaseChange(service);
     }
   };
 
-  const steering = createRolloutSteering({
+  const steering = createRolloutController({
     ...context,
-    book,
+    rollouts,
     election,
     writer: () => writer,
     onPhase: takePhase,
-    onOwnLimit: (news) => reporter.takeLimit(news),
+    onLocalLimit: (news) => reporter.applyLimit(news),
   });
 
   const writer = createRolloutStatusWriter({
     clock,
     store,
-    objects,
-    held: (service) => orders.held(service),
+    codec,
+    lastRead: (service) => orders.lastRead(service),
     // That there is none is told by the watch, which knows whether it was removed or is lost.
-    onRead: (_service, object) => object && orders.take(object),
+    onRead: (_service, object) => object && orders.apply(object),
     onWritten: steering.noteWritten,
   });
 
   const orders = createRolloutOrders({
     clock,
-    book,
-    turns,
-    decode: objects.decode,
+    rollouts,
+    repairs,
+    decode: codec.decode,
     write: writer.write,
-    onTaken: ({ service, ...detail }, revision) =>
+    onApplied: ({ service, ...detail }, revision) =>
       onChange({ service, change: 'order', detail: { ...detail, revision } }),
     onLost: (service) => onChange({ service, change: 'lost', detail: {} }),
     onRemoved: (service, running) => {
@@ -128,8 +128,8 @@
   });
 
   /** A node that knows of no other owner may have just started. */
-  const isAlone = (service: string, version: string): boolean => {
-    const up = directory.ownersOf(service).filter(({ absence }) => !absence);
+  const isSoleVersion = (service: string, version: string): boolean => {
+    const up = directory.ownersOf(service).filter(({ absenceReason }) => !absenceReason);
     const versionOf = ({ record, backEndVersion }: OwnerEntry) =>
       backEndVersion ?? toldVersions.get(record.node);
     return up.length > 1 && up.every((entry) => versionOf(entry) === version);
@@ -137,35 +137,35 @@
 
   const reporter = createRolloutReporter({
     ...context,
-    book,
+    rollouts,
     election,
-    isAlone,
-    onOwnEvidence: steering.takeEvidence,
+    isSoleVersion,
+    onLocalEvidence: steering.receiveEvidence,
   });
 
   const tick = (): void => {
-    orders.look();
-    for (const service of book.runningServices) {
-      const rollout = book.running(service);
+    orders.repairLost();
+    for (const service of rollouts.runningServices) {
+      const rollout = rollouts.running(service);
       if (rollout) {
         reporter.report(rollout);
-        steering.steer(rollout);
+        steering.reconcile(rollout);
       }
     }
   };
 
-  broadcast.listen(AnnouncementTopic.Rollouts, (content, from) => {
+  broadcast.subscribe(AnnouncementTopic.Rollouts, (content, from) => {
     const news = decodeRolloutMessage(content);
     switch (news?.kind) {
       case RolloutMessageKind.Phase:
-        steering.noteDecider(news.service, news.leader);
+        steering.noteLeader(news.service, news.leader);
         takePhase(news, from);
         return;
       case RolloutMessageKind.Evidence:
-        steering.takeEvidence(news);
+        steering.receiveEvidence(news);
         return;
       case RolloutMessageKind.Limit:
-        reporter.takeLimit(news);
+        reporter.applyLimit(news);
         return;
       case RolloutMessageKind.Resignation:
         election.noteResigned(news.service, news.node);
@@ -175,43 +175,43 @@
 
   const watcher = new CollectionWatcher<unknown>(
     store,
-    objects.kind,
+    codec.kind,
     {
       onList: (listed, revision) => {
-        book.isSynced = true;
-        orders.takeList(listed, revision);
+        rollouts.isSynced = true;
+        orders.applyList(listed, revision);
       },
       onChange: (object, gone, revision) => {
         if (gone) {
-          orders.takeAbsence(object.name, object.revision, revision);
+          orders.noteAbsent(object.name, object.revision, revision);
         } else {
-          orders.take(object);
+          orders.apply(object);
         }
       },
       onConnected: context.onConnected,
-      onUpToDate: () => book.markSynced(),
+      onUpToDate: () => rollouts.markSynced(),
     },
     {
       get waitMs() {
-        return book.runningServices.length > 0 ? RUNNING_WAIT_MS : QUIET_WAIT_MS;
+        return rollouts.runningServices.length > 0 ? RUNNING_WAIT_MS : QUIET_WAIT_MS;
       },
       debounceMs: () => 0,
     },
   );
 
   return {
-    book,
+    rollouts,
     start: () => {
       ticking = setInterval(tick, TICK_MS);
       void watcher.run();
     },
     stop: () => {
       clearInterval(ticking);
-      turns.stop();
+      repairs.stop();
       watcher.stop();
     },
-    noteRun: reporter.noteRun,
-    enter: reporter.enter,
-    toldVersion: (node) => toldVersions.get(node),
+    recordRun: reporter.recordRun,
+    acquirePermit: reporter.acquirePermit,
+    announcedVersion: (node) => toldVersions.get(node),
   };
 }
--- a/src/directory/restoreTurns.test.ts
+++ b/src/directory/staggeredRepairs.test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, expect, it, vi } from 'vitest';
-import { createRestoreTurns, TURN_MS } from './restoreTurns.js';
+import { createStaggeredRepairs, STAGGER_MS } from './staggeredRepairs.js';
 
 const NODES = ['a', 'b', 'c', 'd'];
 
@@ -14,8 +14,8 @@
 /** What each node does of one thing, in the order in which they do it. */
 function startAll(acted: string[]) {
   return NODES.map((own) => {
-    const turns = createRestoreTurns({ own: () => own, nodes: () => NODES });
-    turns.take('record', () => acted.push(own));
+    const turns = createStaggeredRepairs({ own: () => own, nodes: () => NODES });
+    turns.schedule('record', () => acted.push(own));
     return turns;
   });
 }
@@ -25,9 +25,9 @@
   startAll(acted);
   vi.advanceTimersByTime(0);
   expect(acted).toHaveLength(1);
-  vi.advanceTimersByTime(TURN_MS);
+  vi.advanceTimersByTime(STAGGER_MS);
   expect(acted).toHaveLength(2);
-  vi.advanceTimersByTime(NODES.length * TURN_MS);
+  vi.advanceTimersByTime(NODES.length * STAGGER_MS);
   expect([...acted].sort()).toEqual(NODES);
 });
 
@@ -36,16 +36,16 @@
   const all = startAll(acted);
   vi.advanceTimersByTime(0);
   for (const turns of all) {
-    turns.pass('record');
+    turns.cancel('record');
   }
-  vi.advanceTimersByTime(NODES.length * TURN_MS);
+  vi.advanceTimersByTime(NODES.length * STAGGER_MS);
   expect(acted).toHaveLength(1);
 });
 
 it('comes at once to a node that knows no other', () => {
   const acted: string[] = [];
-  const turns = createRestoreTurns({ own: () => 'alone', nodes: () => [] });
-  turns.take('record', () => acted.push('alone'));
+  const turns = createStaggeredRepairs({ own: () => 'alone', nodes: () => [] });
+  turns.schedule('record', () => acted.push('alone'));
   vi.advanceTimersByTime(0);
   expect(acted).toEqual(['alone']);
 });
--- a/src/directory/restoreTurns.ts
+++ b/src/directory/staggeredRepairs.ts
@@ -8,40 +8,40 @@
  * Time from one node's turn to the next, in milliseconds: a write and its way back to all nodes take some tens,
  * by a reader that waits for more changes up to half a second.
  */
-export const TURN_MS = 700;
+export const STAGGER_MS = 700;
 
 /** What is needed of the node. */
-export interface RestoreTurnsContext {
+export interface StaggeredRepairsContext {
   readonly own: () => string;
   /** Nodes that are up, as far as is known here. */
   readonly nodes: () => readonly string[];
 }
 
-export interface RestoreTurns {
+export interface StaggeredRepairs {
   /** Acts when it is this node's turn, unless it is told before that this is done. */
-  take(key: string, act: () => void): void;
+  schedule(key: string, act: () => void): void;
   /** It is done, or needs not be any more. */
-  pass(key: string): void;
+  cancel(key: string): void;
   stop(): void;
 }
 
-export function createRestoreTurns({ own, nodes }: RestoreTurnsContext): RestoreTurns {
+export function createStaggeredRepairs({ own, nodes }: StaggeredRepairsContext): StaggeredRepairs {
   const waiting = new Map<string, NodeJS.Timeout>();
-  const pass = (key: string): void => {
+  const cancel = (key: string): void => {
     clearTimeout(waiting.get(key));
     waiting.delete(key);
   };
   return {
-    take: (key, act) => {
-      pass(key);
+    schedule: (key, act) => {
+      cancel(key);
       const turn = Math.max(0, rankNames(key, [...nodes()]).indexOf(own()));
       const timer = setTimeout(() => {
         waiting.delete(key);
         act();
-      }, turn * TURN_MS);
+      }, turn * STAGGER_MS);
       waiting.set(key, timer);
     },
-    pass,
+    cancel,
     stop: () => {
       for (const timer of waiting.values()) {
         clearTimeout(timer);
--- a/src/ingress/dispatch.test.ts
+++ b/src/ingress/dispatch.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it, vi } from 'vitest';
 import { ownerTask } from '../../test/fixtures.js';
+import { createCrossZoneBudget, LARGE_BODY_BYTES } from '../directory/crossZoneBudget.js';
 import { OwnerDirectory } from '../directory/owner-directory.js';
 import { OwnerEntry } from '../directory/owner-entry.js';
-import { createSpillAllowance, LARGE_BODY_BYTES } from '../directory/spillAllowance.js';
 import { EMPTY_BODY } from '../owner/message-body.js';
 import { createRejection, type Owner, type OwnerOutcome, type OwnerTask } from '../owner/owner.js';
 import { createCrashTracker } from '../quarantine/crashTracker.js';
@@ -53,8 +53,8 @@
     () => ({ ratio: 0.2, windowMs: 10_000, slack: options.slack ?? 64 }),
     () => 1,
   );
-  const spill = createSpillAllowance();
-  while (spill.take()) {
+  const spill = createCrossZoneBudget();
+  while (spill.tryWithdraw()) {
     // A zone that is short of room has used its allowance up.
   }
   const returns = createReturnTimes();
@@ -208,7 +208,7 @@
       () => bound,
       () => 1,
     ),
-    spill: createSpillAllowance(),
+    spill: createCrossZoneBudget(),
     returns: createReturnTimes(),
     offerLimit: createOfferLimit(),
     ledger: createCrashTracker(),
--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -3,9 +3,9 @@
  * is allowed, and gives up at once when nothing is left to try.
  */
 
-import type { OwnerDirectory, OwnerWish } from '../directory/owner-directory.js';
+import type { CrossZoneBudget } from '../directory/crossZoneBudget.js';
+import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerEntry } from '../directory/owner-entry.js';
-import type { SpillAllowance } from '../directory/spillAllowance.js';
 import type { Clock } from '../model/clock.js';
 import {
   crashKeyOf,
@@ -59,7 +59,7 @@
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
   readonly budget: SharedRetryBudget;
-  readonly spill: SpillAllowance;
+  readonly spill: CrossZoneBudget;
   readonly returns: ReturnTimes;
   readonly offerLimit: OfferLimit;
   readonly ledger: CrashTracker;
@@ -94,7 +94,7 @@
     private readonly maxAttempts: number,
     /** Size of the request's body; infinite when it is not known. */
     bodyBytes: number,
-    readonly mayServe?: OwnerWish['mayServe'],
+    readonly mayServe?: OwnerCriteria['mayServe'],
   ) {
     this.share = context.shares?.select(task.service, task.route) ?? UNRESTRICTED_SELECTION;
     // One for each request: naming the fields costs a fraction of what spreading the context does.
@@ -126,7 +126,7 @@
   async run(): Promise<DispatchResult> {
     this.context.budget.noteRequest(this.task.service, this.context.clock.now());
     if (this.choice.isLarge) {
-      this.context.spill.earn();
+      this.context.spill.deposit();
     }
     for (;;) {
       if (this.running.size === this.silent.size) {
@@ -255,12 +255,12 @@
       this.context.offerLimit.note(this.task.route, attempt.earlier, isTaken);
     }
     if (outcome.kind === 'not-run') {
-      const isBusyNear = outcome.reason === 'busy' && this.context.directory.isNear(entry);
+      const isBusyNear = outcome.reason === 'busy' && this.context.directory.isInOwnZone(entry);
       this.busyNear += isBusyNear ? 1 : 0;
       this.lastNotRun = outcome;
       this.arrivals += outcome.arrived && !isCounted ? 1 : 0;
       const now = this.context.clock.now();
-      entry.noteTurnedAway(outcome.reason, this.task.priority, outcome.retryAfterMs, now);
+      entry.noteRejection(outcome.reason, this.task.priority, outcome.retryAfterMs, now);
     } else {
       this.arrivals += isCounted ? 0 : 1;
       this.mayHaveRun = true;
--- a/src/ingress/dispatchRefusals.ts
+++ b/src/ingress/dispatchRefusals.ts
@@ -1,5 +1,5 @@
 /** What a client is told when its request is brought to no owner, or no further. */
-import type { OwnerDirectory, OwnerWish } from '../directory/owner-directory.js';
+import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
 import type { Clock } from '../model/clock.js';
 import type { OwnerNotRun } from '../owner/owner.js';
 import type { CrashTracker, RequestKey } from '../quarantine/crashTracker.js';
@@ -20,7 +20,7 @@
   readonly ledger: CrashTracker;
   readonly service: string;
   readonly key: RequestKey;
-  readonly mayServe: OwnerWish['mayServe'];
+  readonly mayServe: OwnerCriteria['mayServe'];
 }
 
 /** What has become of the request so far. */
@@ -44,12 +44,12 @@
   const { clock, directory, returns, ledger, service, key, mayServe } = context;
 
   /** Milliseconds until some owner may be asked again; infinite when none is up. */
-  const restMs = (): number => directory.restMs(service, clock.now());
+  const restMs = (): number => directory.backoffMs(service, clock.now());
 
   /** True when owners of the service are up, and placement policies allow none of them. */
   const isDenied = (): boolean => {
     const owners = directory.ownersOf(service);
-    const isUp = owners.some((entry) => !entry.absence);
+    const isUp = owners.some((entry) => !entry.absenceReason);
     return mayServe !== undefined && isUp && !owners.some((entry) => mayServe(entry.record));
   };
 
--- a/src/ingress/ownerChoice.ts
+++ b/src/ingress/ownerChoice.ts
@@ -1,7 +1,8 @@
 /** Which owner a request is offered to next, and whether it may wait there. */
-import type { OwnerDirectory, OwnerWish } from '../directory/owner-directory.js';
+
+import { type CrossZoneBudget, LARGE_BODY_BYTES } from '../directory/crossZoneBudget.js';
+import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from '../directory/owner-entry.js';
-import { LARGE_BODY_BYTES, type SpillAllowance } from '../directory/spillAllowance.js';
 import type { OwnerTask } from '../owner/owner.js';
 import type { VersionSelection } from '../rollout/versionSelector.js';
 
@@ -17,7 +18,7 @@
 /** What the choice is made from. */
 export interface OwnerChoiceContext {
   readonly directory: OwnerDirectory;
-  readonly spill: SpillAllowance;
+  readonly spill: CrossZoneBudget;
   readonly task: Pick<OwnerTask, 'service' | 'priority' | 'fingerprint'>;
   /** Size of the request's body; infinite when it is not known. */
   readonly bodyBytes: number;
@@ -51,38 +52,40 @@
   const isLarge = bodyBytes >= LARGE_BODY_BYTES;
 
   const isPlaced = (record: OwnerRecord) => context.mayServe?.(record) ?? true;
-  const checkNow = (): OwnerWish['mayServe'] => {
+  const checkNow = (): OwnerCriteria['mayServe'] => {
     const { fallback } = share;
     return fallback ? (record) => fallback(record.node) && isPlaced(record) : context.mayServe;
   };
   /** A large body does not leave its zone for the sake of a version. */
-  const firstCheckNow = (): OwnerWish['mayServe'] => {
+  const firstCheckNow = (): OwnerCriteria['mayServe'] => {
     const { preferred } = share;
     return (
       preferred &&
       ((record) =>
-        preferred(record.node) && (!isLarge || directory.isNear({ record })) && isPlaced(record))
+        preferred(record.node) &&
+        (!isLarge || directory.isInOwnZone({ record })) &&
+        isPlaced(record))
     );
   };
 
   const best = (
     { tried, busyNear, now }: ChoiceState,
-    check: OwnerWish['mayServe'],
+    check: OwnerCriteria['mayServe'],
   ): OwnerEntry | undefined => {
-    const looksElsewhere = !isLarge && busyNear >= BUSY_NEAR_OWNERS;
+    const prefersOtherZones = !isLarge && busyNear >= BUSY_NEAR_OWNERS;
     const countedBytes = Math.min(bodyBytes, LONGEST_COUNTED_BODY_BYTES);
     const wish = {
       service,
       priority,
-      prefersZone: isLarge,
-      looksElsewhere,
+      prefersOwnZone: isLarge,
+      prefersOtherZones,
       bodyBytes: countedBytes,
       mayServe: check,
     };
     const entry = directory.choose(wish, tried, now);
-    const leavesZone = entry !== undefined && !directory.isNear(entry);
-    if (leavesZone && isLarge && directory.hasNearOwner(wish)) {
-      return spill.take() ? entry : undefined;
+    const leavesZone = entry !== undefined && !directory.isInOwnZone(entry);
+    if (leavesZone && isLarge && directory.hasOwnerInOwnZone(wish)) {
+      return spill.tryWithdraw() ? entry : undefined;
     }
     return entry;
   };
@@ -94,10 +97,11 @@
         const first = firstCheckNow();
         return (first && best(state, first)) ?? best(state, checkNow());
       }
-      const only = directory.designated({ service, mayServe: checkNow() }, fingerprint);
+      const only = directory.ownerForRole({ service, mayServe: checkNow() }, fingerprint);
       return only && !state.tried.has(only) ? only : undefined;
     },
     mayWaitAt: (entry) =>
-      directory.isNear(entry) || !directory.hasNearOwner({ service, mayServe: checkNow() }),
+      directory.isInOwnZone(entry) ||
+      !directory.hasOwnerInOwnZone({ service, mayServe: checkNow() }),
   };
 }
--- a/src/sidecar/decisionRecords.ts
+++ b/src/sidecar/decisionRecords.ts
@@ -1,7 +1,7 @@
 /** Finished requests and tasks as lines of the decision log and as metrics. */
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
-import type { RolloutChange } from '../directory/rolloutSteering.js';
+import type { RolloutChange } from '../directory/rolloutController.js';
 import type { RequestRecord } from '../ingress/requestRecord.js';
 import type { OverdueRun } from '../owner/backEndObservations.js';
 import type { OwnerReport, TaskRecord } from '../owner/owner-report.js';
--- a/src/sidecar/outside.ts
+++ b/src/sidecar/outside.ts
@@ -1,5 +1,5 @@
 /** What a deployment brings to a sidecar: how the outside speaks. */
-import type { RolloutObjects } from '../directory/rolloutStatus.js';
+import type { RolloutCodec } from '../directory/rolloutStatusWriter.js';
 import type { HeaderNames } from '../owner/header-names.js';
 import type { Heartbeat } from '../registry/back-end-registry.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
@@ -25,7 +25,7 @@
   /** True for the readiness question. */
   readonly isReadinessCall: (method: string, path: string) => boolean;
   /** How orders for roll-outs are spelled; left out where there are none. */
-  readonly rollouts?: RolloutObjects;
+  readonly rollouts?: RolloutCodec;
 }
 
 /** What a back end says to its node. */
--- a/src/sidecar/ownerEntries.ts
+++ b/src/sidecar/ownerEntries.ts
@@ -42,10 +42,10 @@
         onVersion(known.address, told.version);
       },
       onFailure: (cause) => {
-        if (!entry.absence) {
+        if (!entry.absenceReason) {
           log.event('owner', { owner: known.node, change: 'absent', detail: cause });
         }
-        entry.makeAbsent('silent', clock.now());
+        entry.markAbsent('silent', clock.now());
       },
     });
     const entry = new OwnerEntry(known, remote);
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -78,7 +78,7 @@
     wanted: number,
   ): Promise<QuotaGrant | undefined> => {
     const entry = directory.all().find(({ record }) => record.node === holder.node);
-    return entry && entry.absence !== 'silent'
+    return entry && entry.absenceReason !== 'silent'
       ? reads.requestQuota(entry.record.address, { tenant, wanted }, GRANT_LIFETIME_MS)
       : Promise.resolve(undefined);
   };
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -1,5 +1,5 @@
 /** A sidecar's parts for roll-outs: none where the settings or the deployment know of none. */
-import type { NewsBroadcast } from '../directory/newsBroadcast.js';
+import type { AnnouncementBroadcast } from '../directory/announcementBroadcast.js';
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { createRolloutSync, type RolloutSync } from '../directory/rolloutSync.js';
@@ -15,7 +15,7 @@
 export interface RolloutPartsContext extends SidecarPartsContext {
   readonly relay: ZoneRelay;
   readonly directory: OwnerDirectory;
-  readonly broadcast: NewsBroadcast;
+  readonly broadcast: AnnouncementBroadcast;
   readonly caller: PeerClient;
   readonly owner: LocalOwner;
   readonly record: () => OwnerRecord;
@@ -42,7 +42,7 @@
     ...context,
     clock: clocks.freshnessClock,
     store: relay.store,
-    objects: outside.rollouts,
+    codec: outside.rollouts,
     own: record,
     backEnd: () => {
       const { service, backEndVersion, ready, slots, inFlight, queued } = owner.report;
@@ -58,7 +58,7 @@
     bounds: () => settings().rollout ?? NO_EXPOSURE,
     onChange: (change) => recordRollout({ log, metrics }, change),
   });
-  const { book } = sync;
+  const { rollouts } = sync;
   const shares = createVersionSelector({
     clock: clocks.clock,
     bounds: () => settings().rollout,
@@ -66,12 +66,12 @@
     owners: (service) =>
       directory.ownersOf(service).map((entry) => {
         const { node } = entry.record;
-        return { node, version: entry.backEndVersion ?? sync.toldVersion(node) };
+        return { node, version: entry.backEndVersion ?? sync.announcedVersion(node) };
       }),
     nodes,
-    view: book.view,
-    isSynced: () => book.isSynced,
-    withdrawn: book.withdrawn,
+    view: rollouts.view,
+    isSynced: () => rollouts.isSynced,
+    withdrawn: rollouts.withdrawn,
   });
   return { sync, shares };
 }
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -94,8 +94,8 @@
       backEndReady: owner.report.ready,
       owner: owner.report,
       inFlight: ingress.inFlight,
-      ownersPresent: owners.filter((entry) => !entry.absence).length,
-      ownersAbsent: owners.filter((entry) => entry.absence).length,
+      ownersPresent: owners.filter((entry) => !entry.absenceReason).length,
+      ownersAbsent: owners.filter((entry) => entry.absenceReason).length,
       storeConnected: configuration.isConnected,
     };
   }
@@ -193,7 +193,7 @@
     const timer = setInterval(() => {
       const waitedMs = this.clock.now() - startedAt;
       const isStopping = this.lifecycle.state !== LifecycleState.Serving;
-      if (sync.isListed || waitedMs >= DIRECTORY_HEAD_START_MS || isStopping) {
+      if (sync.isSynced || waitedMs >= DIRECTORY_HEAD_START_MS || isStopping) {
         clearInterval(timer);
         configuration.start();
       }
@@ -226,7 +226,7 @@
       owners_present: ownersPresent,
       owners_absent: ownersAbsent,
       quarantined_requests: this.parts.ledger.quarantined(this.clock.now()).length,
-      rollouts_running: rollouts?.sync.book.runningServices.length ?? 0,
+      rollouts_running: rollouts?.sync.rollouts.runningServices.length ?? 0,
       rollout_requests: rolledOut?.requests ?? 0,
       rollout_offers: rolledOut?.offers ?? 0,
       rollout_bad_answers: rolledOut?.bad ?? 0,
@@ -241,7 +241,7 @@
   private get isReady(): boolean {
     const { sync, configuration } = this.parts;
     const isServing = this.lifecycle.state === LifecycleState.Serving;
-    return isServing && configuration.routes !== undefined && sync.isListed;
+    return isServing && configuration.routes !== undefined && sync.isSynced;
   }
 }
 
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -4,12 +4,12 @@
   EntryKind,
   type NoteUnreadable,
 } from '../diagnostics/unreadableLog.js';
+import { createAnnouncementBroadcast } from '../directory/announcementBroadcast.js';
+import { createCrossZoneBudget } from '../directory/crossZoneBudget.js';
 import { DirectorySync } from '../directory/directory-sync.js';
-import { createNewsBroadcast } from '../directory/newsBroadcast.js';
 import { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { createQuarantineSync, type QuarantineSync } from '../directory/quarantineSync.js';
-import { createSpillAllowance } from '../directory/spillAllowance.js';
 import { IngressServer } from '../ingress/ingress-server.js';
 import { createOfferLimit } from '../ingress/offerLimit.js';
 import { createReturnTimes } from '../ingress/returnTimes.js';
@@ -94,7 +94,7 @@
     timers: alarms,
     ledger,
     onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
-    onCrashAnnouncement: (news) => quarantines.tell(news),
+    onCrashAnnouncement: (news) => quarantines.publish(news),
     names,
     service: () => settings().service,
     backEndAddress: () => settings().backEndAddress,
@@ -105,9 +105,9 @@
     },
     drainMs: () => settings().drainMs,
     onBackEnd: (backEnd, cause) => onBackEnd(backEnd, cause),
-    onRun: (run) => rollouts?.sync.noteRun(run),
+    onRun: (run) => rollouts?.sync.recordRun(run),
     tenantShare: (tenant) => configuration.routes?.tenantShare(tenant) ?? 1,
-    acquirePermit: () => (rollouts ? rollouts.sync.enter() : UNCONDITIONAL_PERMIT),
+    acquirePermit: () => (rollouts ? rollouts.sync.acquirePermit() : UNCONDITIONAL_PERMIT),
     onTask: (task) => recordTask({ log, metrics }, task, owner.report),
     onOverdue: (run) => recordOverdue({ log, metrics }, run),
   });
@@ -131,20 +131,20 @@
   outside.store.onEra = relay.noteEra;
 
   const caller = new PeerClient(sender, report, onSent);
-  const broadcast = createNewsBroadcast({ directory, caller, own: record });
+  const broadcast = createAnnouncementBroadcast({ directory, caller, own: record });
   const sync = new DirectorySync({
     clock,
     store: relay.store,
     directory,
     caller,
     own: record,
-    tellsLeaving: () => quotas.isUsed,
+    marksDeparture: () => quotas.isUsed,
     timing: {
       waitMs: DIRECTORY_WAIT_MS,
       debounceMs: () => (relay.store.isFollowing ? 0 : DIRECTORY_SETTLE_MS),
     },
     onConnected: onStore('directory'),
-    onOwner: (name, change, detail) => log.event('owner', { owner: name, change, detail }),
+    onOwnerChange: (name, change, detail) => log.event('owner', { owner: name, change, detail }),
     onLeft: (name) => quotas.noteLeft(name),
     onReport: (address, told) => configuration.noteVersion(address, told.version),
     onUnreadable: (name) => noteUnreadable(EntryKind.OwnerRecord, name, 'not readable'),
@@ -159,12 +159,12 @@
     own: record,
     timing: { waitMs: DIRECTORY_WAIT_MS, debounceMs: () => 0 },
     onConnected: onStore('quarantines'),
-    onQuarantine: ({ fingerprint, caller: from }, change, origin, crashes) =>
+    onQuarantineChange: ({ fingerprint, caller: from }, change, origin, crashes) =>
       log.event('quarantine', { fingerprint, caller: from, change, origin, crashes }),
     onUnreadable: (name, origin) => noteUnreadable(EntryKind.CrashRecord, name, `from ${origin}`),
   });
 
-  const nodes = () => (sync.isListed ? directory.size : Number.POSITIVE_INFINITY);
+  const nodes = () => (sync.isSynced ? directory.size : Number.POSITIVE_INFINITY);
   const rollouts = createRolloutParts({
     ...context,
     relay,
@@ -191,7 +191,7 @@
     directory,
     reads,
     routes: () => configuration.routes,
-    isListed: () => sync.isListed,
+    isListed: () => sync.isSynced,
   });
 
   const tenantUse = createTenantUsageCounter(clock);
@@ -202,7 +202,7 @@
     names,
     directory,
     budget: new SharedRetryBudget(() => settings().retryBudget, nodes),
-    spill: createSpillAllowance(),
+    spill: createCrossZoneBudget(),
     returns: createReturnTimes(),
     offerLimit: createOfferLimit(),
     ledger,
@@ -229,7 +229,7 @@
     tenantUse: tenantUse.serialize,
     readStore: (question) => relay.answer(question),
     grantQuota: quotas.grant,
-    onAnnouncement: broadcast.take,
+    onAnnouncement: broadcast.receive,
     onPeerContact: (from, told) => {
       sync.notePeer(from, told);
       configuration.noteVersion(from.address, from.version);
@@ -250,9 +250,9 @@
     const entry = directory.all().find(({ isLocal }) => isLocal);
     if (ready) {
       entry?.noteReport(report(), clock.now());
-      sync.announce();
+      sync.announceReady();
     } else {
-      entry?.makeAbsent('no-back-end', clock.now());
+      entry?.markAbsent('no-back-end', clock.now());
     }
   };
 
--- a/src/sidecar/zoneMembership.ts
+++ b/src/sidecar/zoneMembership.ts
@@ -23,7 +23,8 @@
   let part: ZoneAssignment | undefined;
   let until = 0;
   let generation = -1;
-  const isAway = ({ absence }: OwnerEntry) => absence === 'silent' || absence === 'stopping';
+  const isAway = ({ absenceReason }: OwnerEntry) =>
+    absenceReason === 'silent' || absenceReason === 'stopping';
   return () => {
     const now = clock.now();
     if (!part || now >= until || generation !== directory.generation) {
