--- a/src/peer/adaptiveTimeout.ts
+++ b/src/peer/adaptiveTimeout.ts
@@ -1,26 +1,26 @@
 /**
- * How long another node may stay silent before it is taken for dead: what it usually takes to
- * answer, and its variation, as TCP does for retransmissions (RFC 6298, section 2). A node that is
- * short of processor time answers later and later, and is given more time instead of being left
- * alone, which would bring its load to the others.
+ * Computes how long another node may stay silent before it counts as not answering. The timeout
+ * follows the mean and the deviation of the node's response times, as TCP's retransmission timeout
+ * does (RFC 6298, section 2). A node that is short of processor time answers later and later; it
+ * gets a longer timeout, because moving its load to the other nodes would overload those in turn.
  */
 
-/** Weights of the newest answer in the mean and in the deviation (RFC 6298, section 2.3). */
+/** Weights of the newest response time in the mean and in the deviation (RFC 6298, section 2.3). */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
 
-/** Deviations above the mean that are still usual (RFC 6298, section 2.3). */
-const DEVIATIONS = 4;
+/** Deviations that the timeout lies above the mean (RFC 6298, section 2.3). */
+const DEVIATION_FACTOR = 4;
 
-/** Shortest and longest limit, in milliseconds. */
-const SHORTEST_MS = 250;
-const LONGEST_MS = 1_000;
+/** Bounds of the timeout, in milliseconds. */
+const MIN_TIMEOUT_MS = 250;
+const MAX_TIMEOUT_MS = 1_000;
 
-/** Learns from the answers of one node. */
+/** The timeout for one node. */
 export interface AdaptiveTimeout {
   /** Milliseconds that the node may stay silent. */
   readonly currentMs: number;
-  /** The node has answered after this many milliseconds. */
+  /** Records that the node has answered after this many milliseconds. */
   noteReply(tookMs: number): void;
 }
 
@@ -29,8 +29,8 @@
   let deviationMs = 0;
   return {
     get currentMs() {
-      const usualMs = (meanMs ?? 0) + DEVIATIONS * deviationMs;
-      return Math.min(LONGEST_MS, Math.max(SHORTEST_MS, usualMs));
+      const timeoutMs = (meanMs ?? 0) + DEVIATION_FACTOR * deviationMs;
+      return Math.min(MAX_TIMEOUT_MS, Math.max(MIN_TIMEOUT_MS, timeoutMs));
     },
     noteReply: (tookMs) => {
       if (meanMs === undefined) {
--- a/src/peer/bodyReceiver.test.ts
+++ b/src/peer/bodyReceiver.test.ts
@@ -9,7 +9,7 @@
   return { kind: MessageKind.Chunk, bytes: Buffer.alloc(isLast ? 0 : CHUNK_BYTES), isLast };
 }
 
-/** A connection that only remembers whether it is paused. */
+/** A connection that only records whether it is paused. */
 function pausableConnection() {
   const state = { isPaused: false };
   const connection: PeerConnection = {
@@ -27,7 +27,7 @@
 }
 
 describe('createBodyReceiver', () => {
-  it('holds the sender up while nobody reads', async () => {
+  it('pauses the connection while the body is not read', async () => {
     const { state, connection } = pausableConnection();
     const receiver = createBodyReceiver(connection, CHUNK_BYTES);
     for (let index = 0; index < 4; index += 1) {
@@ -36,13 +36,13 @@
     expect(state.isPaused).toBe(true);
     const body = await receiver.body;
     if (body.kind !== 'stream') {
-      throw new Error('a long body is a stream');
+      throw new Error('expected the long body to be a stream');
     }
     body.rest.read();
     expect(state.isPaused).toBe(false);
   });
 
-  it('leaves the connection free for the next exchange once the body is in', async () => {
+  it('resumes the connection once the body has arrived and leaves its pause state alone after', async () => {
     const { state, connection } = pausableConnection();
     const receiver = createBodyReceiver(connection, CHUNK_BYTES);
     for (let index = 0; index < 4; index += 1) {
@@ -56,7 +56,7 @@
       body.rest.destroy();
       await new Promise((resolve) => body.rest.once('close', resolve));
     }
-    // Another exchange has paused it meanwhile; this body has no say any longer.
+    // The pause set above stands for one by the next exchange, which this body must not undo.
     expect(state.isPaused).toBe(true);
   });
 });
--- a/src/peer/bodyReceiver.ts
+++ b/src/peer/bodyReceiver.ts
@@ -1,59 +1,63 @@
-/** Puts a body together from the chunks in which it comes over a connection between nodes. */
+/** Assembles a message body from the chunks that arrive over a connection between two nodes. */
 import { Readable } from 'node:stream';
 import type { BytesBody, MessageBody } from '../owner/message-body.js';
 import type { PeerConnection } from './peerConnection.js';
 import type { ChunkMessage } from './peerMessages.js';
 
-/** Puts a body together from its chunks. */
+/** Receives the chunks of one body. */
 export interface BodyReceiver {
-  /** Whole when it is short, else its beginning and a stream; rejects when it breaks off. */
+  /**
+   * The whole body if it is short, otherwise its buffered beginning and a stream of the remainder.
+   * Rejects if the connection closes before the body is complete or long enough to be streamed.
+   */
   readonly body: Promise<MessageBody>;
-  /** True once the last chunk is in. */
+  /** True once the last chunk has arrived. */
   readonly isComplete: boolean;
   onChunk(chunk: ChunkMessage): void;
-  /** Nobody reads the body any longer. */
+  /** Called when the body is no longer read. */
   discard(): void;
-  /** No more chunks will come. */
+  /** Called when no more chunks can arrive. */
   abort(): void;
 }
 
 /**
- * Holds up to `limitBytes`; a longer body becomes a stream that holds the sender up. When its reader
- * gives the stream up, what is still to come is let through unread, and `onAbandoned` is called.
+ * Buffers up to `limitBytes`. A longer body becomes a stream that pauses the connection while the
+ * reader is slow. If the reader destroys the stream early, the connection resumes, the chunks that
+ * still arrive are dropped, and `onAbandoned` is called.
  */
 export function createBodyReceiver(
   connection: PeerConnection,
   limitBytes: number,
   onAbandoned: () => void = () => {},
 ): BodyReceiver {
-  const held: Buffer[] = [];
+  const buffered: Buffer[] = [];
   let size = 0;
-  let rest: Readable | undefined;
+  let stream: Readable | undefined;
   let isComplete = false;
   let resolve: (body: MessageBody) => void = () => {};
   let reject: (error: Error) => void = () => {};
-  const body = new Promise<MessageBody>((onBody, onBroken) => {
+  const body = new Promise<MessageBody>((onBody, onError) => {
     resolve = onBody;
-    reject = onBroken;
+    reject = onError;
   });
-  // Who does not wait for the body does not care that it broke off.
+  // Prevents an unhandled rejection if nothing awaits the body.
   body.catch(() => {});
   const startStream = () => {
-    rest = new Readable({
+    stream = new Readable({
       read: () => {
         if (!isComplete) {
           connection.setPaused(false);
         }
       },
     });
-    rest.on('error', () => {});
-    rest.on('close', () => {
+    stream.on('error', () => {});
+    stream.on('close', () => {
       if (!isComplete) {
         connection.setPaused(false);
         onAbandoned();
       }
     });
-    resolve({ kind: 'stream', head: held, rest });
+    resolve({ kind: 'stream', head: buffered, rest: stream });
   };
   return {
     body,
@@ -62,35 +66,35 @@
     },
     onChunk: ({ bytes, isLast }) => {
       size += bytes.length;
-      if (!rest) {
-        held.push(bytes);
-      } else if (bytes.length > 0 && !rest.destroyed && !rest.push(bytes)) {
+      if (!stream) {
+        buffered.push(bytes);
+      } else if (bytes.length > 0 && !stream.destroyed && !stream.push(bytes)) {
         connection.setPaused(true);
       }
       isComplete = isLast;
       if (isLast) {
-        // The connection goes on to the next exchange, whoever still reads this body.
+        // The next exchange uses the connection even while this body is still being read.
         connection.setPaused(false);
       }
-      if (isLast && rest) {
-        rest.push(null);
+      if (isLast && stream) {
+        stream.push(null);
       } else if (isLast) {
-        resolve(wholeBody(held, size));
-      } else if (!rest && size > limitBytes) {
+        resolve(concatBody(buffered, size));
+      } else if (!stream && size > limitBytes) {
         startStream();
       }
     },
-    discard: () => rest?.destroy(),
+    discard: () => stream?.destroy(),
     abort: () => {
       if (!isComplete) {
-        const error = new Error('the message broke off');
-        rest?.destroy(error);
+        const error = new Error('connection closed before the end of the message body');
+        stream?.destroy(error);
         reject(error);
       }
     },
   };
 }
 
-function wholeBody(parts: readonly Buffer[], size: number): BytesBody {
-  return { kind: 'bytes', bytes: Buffer.concat(parts, size) };
+function concatBody(chunks: readonly Buffer[], size: number): BytesBody {
+  return { kind: 'bytes', bytes: Buffer.concat(chunks, size) };
 }
--- a/src/peer/bodySender.test.ts
+++ b/src/peer/bodySender.test.ts
@@ -13,21 +13,21 @@
   return { kind: 'bytes', bytes: Buffer.alloc(length, 'x') } as const;
 }
 
-/** Lets everything that waits for nothing but a turn go on. */
-function turns(): Promise<void> {
+/** Lets all pending promise callbacks run. */
+function settlePromises(): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, 5));
 }
 
-describe('the window of bodies', () => {
-  it('holds a link of 3.5 Mbit/s up for 40 ms, in two chunks', () => {
+describe('sendWindowOf', () => {
+  it('occupies a link of 3.5 Mbit/s for 40 ms, in two chunks', () => {
     expect(sendWindowOf(3.5)).toEqual({ chunkBytes: 8_750, chunks: 2 });
   });
 
-  it('is that of the narrower link', () => {
+  it('returns the window of the narrower link', () => {
     expect(sendWindowOf(1_000, 3.5)).toEqual(sendWindowOf(3.5));
   });
 
-  it('does not get in the way of a wide or an unknown link', () => {
+  it('allows many chunks of the maximum size on a fast or unknown link', () => {
     for (const window of [sendWindowOf(1_000), sendWindowOf(undefined)]) {
       expect(window.chunkBytes).toBe(64 * 1024);
       expect(window.chunks).toBeGreaterThanOrEqual(64);
@@ -35,12 +35,12 @@
   });
 });
 
-describe('a body that is sent in chunks', () => {
-  it('has no more than its window on its way, and goes on with each acknowledgement', async () => {
+describe('createBodySender', () => {
+  it('keeps at most one window in flight and sends another chunk per acknowledgement', async () => {
     const { sent, sender } = senderOf(3.5);
     const ended = sender.sendBody(bytesOf(60_000));
     for (let acknowledged = 0; acknowledged < 5; acknowledged += 1) {
-      await turns();
+      await settlePromises();
       expect(sent).toHaveLength(acknowledged + 2);
       sender.onAcknowledged();
     }
@@ -57,13 +57,13 @@
     expect(Buffer.concat(sent.map(({ bytes }) => bytes))).toEqual(Buffer.alloc(60_000, 'x'));
   });
 
-  it('goes at once over a wide link', async () => {
+  it('sends a whole body without waiting over a fast link', async () => {
     const { sent, sender } = senderOf(1_000);
     await sender.sendBody(bytesOf(360_000));
     expect(sent).toHaveLength(6);
   });
 
-  it('is passed on as it comes when its end is not known', async () => {
+  it('sends the data of a stream as it arrives, then an empty last chunk', async () => {
     const { sent, sender } = senderOf(3.5);
     const rest = new Readable({ read: () => {} });
     const ended = sender.sendBody({ kind: 'stream', head: [Buffer.from('head')], rest });
@@ -79,19 +79,19 @@
     ]);
   });
 
-  it('is given up when the connection is lost', async () => {
+  it('rejects a body in flight when the connection is lost', async () => {
     const { sender } = senderOf(3.5);
     const ended = sender.sendBody(bytesOf(60_000));
-    await turns();
+    await settlePromises();
     sender.onClose();
     await expect(ended).rejects.toThrow('lost');
   });
 
-  it('leaves room for the next body once its last chunk is acknowledged', async () => {
+  it('sends the next body once the last chunk of the one before is acknowledged', async () => {
     const { sent, sender } = senderOf(3.5);
     await sender.sendBody(bytesOf(10_000));
     const second = sender.sendBody(bytesOf(100));
-    await turns();
+    await settlePromises();
     expect(sent).toHaveLength(2);
     sender.onAcknowledged();
     await second;
--- a/src/peer/bodySender.ts
+++ b/src/peer/bodySender.ts
@@ -1,53 +1,56 @@
 /**
- * Sends a body in chunks, of which only a few are on their way at a time. A machine's link is one
- * queue: a body of 60 KB that is written at once holds up every small message behind it for 0.14 s on
- * a link of 3.5 Mbit/s, and the largest for 0.8 s.
+ * Sends a body in chunks and limits how many of them are in flight. A machine's link is one queue: a
+ * body of 60 KB that is written at once delays every small message behind it by 0.14 s on a link of
+ * 3.5 Mbit/s, and the largest body delays them by 0.8 s.
  */
 import type { MessageBody, StreamBody } from '../owner/message-body.js';
 import { type ChunkMessage, MAX_CHUNK_BYTES, MessageKind } from './peerMessages.js';
 
-/** How long what is on its way of one body may hold the link up, in milliseconds. */
+/** Time in milliseconds for which the chunks in flight of one body may occupy the link. */
 const BULK_WINDOW_MS = 40;
 
-/** Below this size, in bytes, the messages around a chunk would cost as much as the chunk. */
+/** Smallest chunk in bytes. With smaller chunks, headers and acknowledgements would cost as much. */
 const MIN_CHUNK_BYTES = 4 * 1024;
 
-/** Chunks that make up the window: while one is acknowledged, the other is under way. */
+/** Least chunks in a window: one is in flight while the other is being acknowledged. */
 const CHUNKS_PER_WINDOW = 2;
 
 const BITS_PER_BYTE = 8;
 const BITS_PER_MS_OF_ONE_MBPS = 1_000;
 
-/** How much of a body may be on its way. */
+/** How much of a body may be in flight. */
 export interface SendWindow {
   readonly chunkBytes: number;
-  /** Chunks that may be without an acknowledgement. */
+  /** Chunks that may be unacknowledged. */
   readonly chunks: number;
 }
 
-/** For links that carry so many megabits a second; an unknown one is taken for a wide one. */
+/**
+ * The window for the narrowest of the given links, in megabits per second. A link of undefined speed
+ * does not limit the window.
+ */
 export function sendWindowOf(...linksMbps: readonly (number | undefined)[]): SendWindow {
   const mbps = Math.min(...linksMbps.map((link) => link ?? Number.POSITIVE_INFINITY));
   const windowBytes = (mbps * BITS_PER_MS_OF_ONE_MBPS * BULK_WINDOW_MS) / BITS_PER_BYTE;
-  const wanted = Math.floor(windowBytes / CHUNKS_PER_WINDOW);
-  const chunkBytes = Math.max(MIN_CHUNK_BYTES, Math.min(MAX_CHUNK_BYTES, wanted));
+  const idealChunkBytes = Math.floor(windowBytes / CHUNKS_PER_WINDOW);
+  const chunkBytes = Math.max(MIN_CHUNK_BYTES, Math.min(MAX_CHUNK_BYTES, idealChunkBytes));
   return { chunkBytes, chunks: Math.max(CHUNKS_PER_WINDOW, Math.floor(windowBytes / chunkBytes)) };
 }
 
-/** What the sender needs of its connection. */
+/** The connection that the sender writes to. */
 export interface BodySink {
   send(message: ChunkMessage): void;
-  /** Resolves when the connection takes more; rejects when it is lost. */
+  /** Resolves when the connection can take more data; rejects if the connection is lost. */
   writable(): Promise<void>;
 }
 
-/** The chunks of one connection. */
+/** Sends the chunks of one connection. */
 export interface BodySender {
-  /** Sends a body; rejects when either side breaks off. */
+  /** Sends a body; rejects if the body cannot be read to its end or the connection is lost. */
   sendBody(body: MessageBody): Promise<void>;
-  /** The other side has received a chunk. */
+  /** Called when the receiver has acknowledged a chunk. */
   onAcknowledged(): void;
-  /** The connection is lost. */
+  /** Called when the connection is lost. */
   onClose(): void;
 }
 
@@ -55,7 +58,7 @@
   let unacknowledged = 0;
   let isLost = false;
   let wake: () => void = () => {};
-  const room = async (): Promise<void> => {
+  const waitForWindow = async (): Promise<void> => {
     while (unacknowledged >= window.chunks && !isLost) {
       await new Promise<void>((resolve) => {
         wake = resolve;
@@ -66,7 +69,7 @@
     }
   };
   const sendChunk = async (bytes: Buffer, isLast: boolean): Promise<void> => {
-    await room();
+    await waitForWindow();
     unacknowledged += 1;
     sink.send({ kind: MessageKind.Chunk, bytes, isLast });
     await sink.writable();
@@ -74,7 +77,7 @@
   return {
     sendBody: async (body) => {
       if (body.kind === 'bytes') {
-        const chunks = [...cut(body.bytes, window.chunkBytes)];
+        const chunks = [...split(body.bytes, window.chunkBytes)];
         const last = chunks.pop() ?? NO_BYTES;
         for (const bytes of chunks) {
           await sendChunk(bytes, false);
@@ -82,8 +85,9 @@
         await sendChunk(last, true);
         return;
       }
-      // A stream is passed on as it comes: its end is known only later.
-      for await (const bytes of partsOf(body, window.chunkBytes)) {
+      // Data of a stream is sent as it arrives. Its end becomes known only after its last data, so
+      // an empty last chunk follows.
+      for await (const bytes of chunksOf(body, window.chunkBytes)) {
         await sendChunk(bytes, false);
       }
       await sendChunk(NO_BYTES, true);
@@ -101,16 +105,16 @@
 
 const NO_BYTES = Buffer.alloc(0);
 
-async function* partsOf(body: StreamBody, chunkBytes: number): AsyncGenerator<Buffer> {
-  for (const whole of body.head) {
-    yield* cut(whole, chunkBytes);
+async function* chunksOf(body: StreamBody, chunkBytes: number): AsyncGenerator<Buffer> {
+  for (const buffer of body.head) {
+    yield* split(buffer, chunkBytes);
   }
-  for await (const whole of body.rest) {
-    yield* cut(whole as Buffer, chunkBytes);
+  for await (const buffer of body.rest) {
+    yield* split(buffer as Buffer, chunkBytes);
   }
 }
 
-function* cut(bytes: Buffer, chunkBytes: number): Generator<Buffer> {
+function* split(bytes: Buffer, chunkBytes: number): Generator<Buffer> {
   for (let start = 0; start < bytes.length; start += chunkBytes) {
     yield bytes.subarray(start, start + chunkBytes);
   }
--- a/src/peer/listenOn.ts
+++ b/src/peer/listenOn.ts
@@ -1,7 +1,7 @@
-/** Opens a listener for TCP connections. */
+/** Opens a listening TCP socket. */
 import type { Server } from 'node:net';
 
-/** Starts a server and resolves with its port; port 0 lets the kernel choose. */
+/** Starts a server and resolves with its port; for port 0 the kernel chooses a free one. */
 export function listenOn(server: Server, host: string, port: number): Promise<number> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/src/peer/livenessTimer.ts
+++ b/src/peer/livenessTimer.ts
@@ -1,38 +1,51 @@
-/** How long an exchange bears with an owner that says nothing, and when it asks whether it is still there. */
+/**
+ * Detects an owner that no longer answers an exchange. An offer without a response times out. An
+ * owner that has the task is sent a ping after a while, which tells a node that is down from one that
+ * is busy; a ping without a response times out too.
+ */
 import type { Clock } from '../model/clock.js';
 import type { PeerState } from './peerState.js';
 
-/** The next ping of a long exchange waits this many times longer than the last one did. */
+/** Factor by which the pause before the next ping of a long exchange grows. */
 const PING_GROWTH = 2;
 
-/** What is needed of the exchange. */
+/** The exchange that the timer watches. */
 export interface LivenessTimerContext {
   readonly clock: Clock;
   readonly peer: PeerState;
-  /** True while the offer waits for its first answer; false at once if the body went with it. */
+  /**
+   * True while the owner has not responded to the offer; false from the start if the offer contained
+   * the body.
+   */
   readonly isOfferPending: () => boolean;
-  /** Asks whether the owner is still there; false if such an exchange is not asked about. */
+  /** Sends a ping to the owner; returns false if this exchange sends no pings. */
   readonly ping: () => boolean;
-  /** What was awaited has come after so many milliseconds. */
+  /** Called with the milliseconds that the owner took to respond to the offer or to a ping. */
   readonly onReply?: ((tookMs: number) => void) | undefined;
-  /** What was awaited has not come; `isHeardOf` if other exchanges have heard of the owner meanwhile. */
-  readonly onTimeout: (isHeardOf: boolean) => void;
+  /**
+   * Called when the offer or a ping has timed out; `isPeerActive` if other exchanges have received
+   * messages from the owner in the meantime.
+   */
+  readonly onTimeout: (isPeerActive: boolean) => void;
 }
 
 export interface LivenessTimer {
-  /** The offer is sent. */
+  /** Starts the timer; called when the offer is sent. */
   start(): void;
-  /** Something has come from the owner; to be called before its effect on `isOffered`. */
+  /**
+   * Records a message from the owner. Must be called before the message changes the result of
+   * `isOfferPending`.
+   */
   noteReceived(): void;
-  /** The exchange is over. */
+  /** Stops the timer; called when the exchange has ended. */
   stop(): void;
 }
 
 export function createLivenessTimer(context: LivenessTimerContext): LivenessTimer {
   const { clock, peer, isOfferPending, ping, onReply, onTimeout } = context;
-  /** Milliseconds after which a silent owner is asked whether it is still there. */
-  let patienceMs = peer.replyTimeout.currentMs;
-  /** Steady time in milliseconds since which something is awaited of the owner. */
+  /** Milliseconds before the offer times out or the next ping is sent. */
+  let pauseMs = peer.replyTimeout.currentMs;
+  /** Steady time in milliseconds at which the offer or the latest ping was sent. */
   let awaitingSince = 0;
   let isPinged = false;
   let isStopped = false;
@@ -41,16 +54,16 @@
   const startTimer = (ms: number): void => {
     clearTimeout(timer);
     timer = setTimeout(() => {
-      // What has arrived while this process was held up is read before it counts as missing.
-      setImmediate(onSpent);
+      // Reads data that arrived while this process was blocked before it counts as missing.
+      setImmediate(onExpired);
     }, ms);
   };
 
   /**
-   * The time is up, whether or not something was heard meanwhile: an offer counts as unanswered, a task
-   * under way is asked about by a ping, which tells a dead node from a busy one.
+   * Reports a pending offer or ping as timed out, otherwise sends a ping. Other messages from the
+   * owner do not restart the timer.
    */
-  const onSpent = (): void => {
+  const onExpired = (): void => {
     if (isStopped) {
       return;
     }
@@ -68,7 +81,7 @@
   return {
     start: () => {
       awaitingSince = clock.now();
-      startTimer(patienceMs);
+      startTimer(pauseMs);
     },
     noteReceived: () => {
       const now = clock.now();
@@ -79,8 +92,8 @@
       }
       if (isPinged) {
         isPinged = false;
-        patienceMs *= PING_GROWTH;
-        startTimer(patienceMs);
+        pauseMs *= PING_GROWTH;
+        startTimer(pauseMs);
       }
     },
     stop: () => {
--- a/src/peer/remoteRun.ts
+++ b/src/peer/remoteRun.ts
@@ -52,7 +52,7 @@
       isOfferPending: () => this.stage === Stage.Offered,
       ping: () => this.ping(),
       onReply: context.onReply,
-      onTimeout: (isHeardOf) => this.onSilence(isHeardOf),
+      onTimeout: (isPeerActive) => this.onTimeout(isPeerActive),
     });
   }
 
@@ -202,8 +202,8 @@
    * A task that the owner may run is not given up: silence is no proof that the owner is gone, its
    * link may be full. Who sent the task is told, and may ask another owner meanwhile.
    */
-  private onSilence(isHeardOf: boolean): void {
-    if (!isHeardOf) {
+  private onTimeout(isPeerActive: boolean): void {
+    if (!isPeerActive) {
       this.context.onFailure('silent');
       // Connections may go silent for good while new ones work: those that are kept are as old.
       this.peer.pool.closeIdle();
