--- a/src/peer/bodySender.ts
+++ b/src/peer/bodySender.ts
@@ -1,7 +1,7 @@
 /**
- * Sends a body in chunks and limits how many of them are in flight. A machine's link is one queue: a
- * body of 60 KB that is written at once delays every small message behind it by 0.14 s on a link of
- * 3.5 Mbit/s, and the largest body delays them by 0.8 s.
+ * Sends a body in chunks and limits how many of them are in flight. A machine's link is one queue:
+ * on a link of 3.5 Mbit/s, a body of 60 KB that is written at once delays every small message
+ * behind it by 0.14 s, and the largest body delays them by 0.8 s.
  */
 import type { MessageBody, StreamBody } from '../owner/message-body.js';
 import { type ChunkMessage, MAX_CHUNK_BYTES, MessageKind } from './peerMessages.js';
@@ -9,7 +9,7 @@
 /** Time in milliseconds for which the chunks in flight of one body may occupy the link. */
 const BULK_WINDOW_MS = 40;
 
-/** Smallest chunk in bytes. With smaller chunks, headers and acknowledgements would cost as much. */
+/** Smallest chunk in bytes. The messages around a smaller one would cost as much as the chunk. */
 const MIN_CHUNK_BYTES = 4 * 1024;
 
 /** Least chunks in a window: one is in flight while the other is being acknowledged. */
@@ -26,8 +26,8 @@
 }
 
 /**
- * The window for the narrowest of the given links, in megabits per second. A link of undefined speed
- * does not limit the window.
+ * The window for the slowest of the given links, in megabits per second. A link of undefined speed
+ * counts as unlimited.
  */
 export function sendWindowOf(...linksMbps: readonly (number | undefined)[]): SendWindow {
   const mbps = Math.min(...linksMbps.map((link) => link ?? Number.POSITIVE_INFINITY));
--- a/src/peer/livenessTimer.ts
+++ b/src/peer/livenessTimer.ts
@@ -1,7 +1,7 @@
 /**
  * Detects an owner that no longer answers an exchange. An offer without a response times out. An
- * owner that has the task is sent a ping after a while, which tells a node that is down from one that
- * is busy; a ping without a response times out too.
+ * owner that has the task is sent a ping after a while, because a busy node answers it and a node
+ * that is down does not; a ping without a response times out too.
  */
 import type { Clock } from '../model/clock.js';
 import type { PeerState } from './peerState.js';
@@ -14,8 +14,8 @@
   readonly clock: Clock;
   readonly peer: PeerState;
   /**
-   * True while the owner has not responded to the offer; false from the start if the offer contained
-   * the body.
+   * True while the owner has not responded to the offer; false from the start if the offer
+   * contained the body.
    */
   readonly isOfferPending: () => boolean;
   /** Sends a ping to the owner; returns false if this exchange sends no pings. */
--- a/src/peer/peerClient.ts
+++ b/src/peer/peerClient.ts
@@ -1,4 +1,7 @@
-/** Short calls to other nodes: their status, their configuration, the owners they know, news. */
+/**
+ * Sends short requests to other nodes, each on a new connection: queries for their status, their
+ * configuration, the owners they know and the use of quotas there, and announcements.
+ */
 
 import net from 'node:net';
 import { endpointOf } from '../model/endpoint.js';
@@ -13,16 +16,16 @@
   type QueryResultMessage,
 } from './peerMessages.js';
 
-/** News as one node is told it. */
+/** An announcement as sent to one node. */
 export interface Announcement {
   readonly topic: AnnouncementTopic;
-  /** A value of CBOR. */
+  /** Any value that CBOR can encode. */
   readonly content: unknown;
-  /** True if the receiver is to pass it on to the nodes of its zone. */
+  /** True if the receiver has to forward the announcement to the nodes of its zone. */
   readonly shouldForward: boolean;
 }
 
-/** Calls other nodes on connections of their own. */
+/** Sends requests to other nodes; opens a connection for each request. */
 export class PeerClient {
   constructor(
     private readonly sender: () => PeerSender,
@@ -30,38 +33,42 @@
     private readonly onSent?: SentObserver,
   ) {}
 
-  /** Tells another node one's own status and asks for its; undefined when it does not answer. */
+  /** Exchanges status reports with another node. Undefined if it does not answer in time. */
   async status(address: string, timeoutMs: number): Promise<PeerReport | undefined> {
-    const told = await this.ask(address, PeerQuery.Status, timeoutMs);
-    return told?.report;
+    const result = await this.query(address, PeerQuery.Status, timeoutMs);
+    return result?.report;
   }
 
-  /** Asks for the configuration that another node holds. */
+  /** Fetches the configuration of another node. Undefined if it has none or does not answer. */
   async configuration(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuery.Configuration, timeoutMs);
-    return told?.bytes;
+    const result = await this.query(address, PeerQuery.Configuration, timeoutMs);
+    return result?.bytes;
   }
 
-  /** Asks for the owners that another node knows. */
+  /** Fetches the owners that another node knows. Undefined if it has no list or does not answer. */
   async directory(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuery.Directory, timeoutMs);
-    return told?.bytes;
+    const result = await this.query(address, PeerQuery.Directory, timeoutMs);
+    return result?.bytes;
   }
 
-  /** Asks for what tenants have used at another node of late. */
+  /** Fetches the recent requests of tenants at another node. Undefined if it does not answer. */
   async tenantUse(address: string, timeoutMs: number): Promise<Buffer | undefined> {
-    const told = await this.ask(address, PeerQuery.TenantUse, timeoutMs);
-    return told?.bytes;
+    const result = await this.query(address, PeerQuery.TenantUse, timeoutMs);
+    return result?.bytes;
   }
 
-  /** Tells news; false when nobody took it. */
-  async sendAnnouncement(address: string, news: Announcement, timeoutMs: number): Promise<boolean> {
-    const message = { kind: MessageKind.News, sender: this.sender(), ...news } as const;
+  /** Sends an announcement; false if the node does not acknowledge it in time. */
+  async sendAnnouncement(
+    address: string,
+    announcement: Announcement,
+    timeoutMs: number,
+  ): Promise<boolean> {
+    const message = { kind: MessageKind.News, sender: this.sender(), ...announcement } as const;
     const reply = await this.exchange(address, message, timeoutMs);
     return reply?.kind === MessageKind.Pong;
   }
 
-  private async ask(
+  private async query(
     address: string,
     question: PeerQuery,
     timeoutMs: number,
@@ -76,7 +83,7 @@
     return reply?.kind === MessageKind.Told ? reply : undefined;
   }
 
-  /** One message and its reply on a connection of their own. */
+  /** Sends one message on a new connection. Undefined if no reply arrives in time. */
   private exchange(
     address: string,
     message: PeerMessage,
--- a/src/peer/peerCodec.ts
+++ b/src/peer/peerCodec.ts
@@ -1,4 +1,7 @@
-/** How messages between nodes travel: each is a frame that holds a list, its kind first. */
+/**
+ * Encodes and decodes the messages between nodes. Each message is one frame that holds a list: the
+ * kind of the message, then its content in a fixed order. Content that is malformed is rejected.
+ */
 
 import { encodeFrame } from '../codec/frame.js';
 import { isNonNegativeInteger, isNonNegativeNumber } from '../codec/numberGuards.js';
@@ -20,20 +23,20 @@
 import { decodeReport, encodeReport } from './reportCodec.js';
 import { decodeTask, encodeTask } from './taskCodec.js';
 
-/** Status codes that may be written (RFC 9110, section 15). */
-const LEAST_STATUS = 100;
-const LARGEST_STATUS = 999;
+/** Range of status codes that an HTTP response can carry (RFC 9110, section 15). */
+const MIN_STATUS = 100;
+const MAX_STATUS = 999;
 
-/** Renders a message as one frame: a list that begins with its kind. */
+/** Encodes a message as one frame. */
 export function encodeMessage(message: PeerMessage): Buffer {
-  return encodeFrame([message.kind, ...contentOf(message)]);
+  return encodeFrame([message.kind, ...encodeContent(message)]);
 }
 
-function contentOf(message: PeerMessage): unknown[] {
+function encodeContent(message: PeerMessage): unknown[] {
   switch (message.kind) {
     case MessageKind.Offer:
       return [
-        listOfSender(message.sender),
+        encodeSender(message.sender),
         encodeTask(message.task),
         message.method,
         message.target,
@@ -43,17 +46,17 @@
     case MessageKind.Chunk:
       return [message.bytes, message.isLast];
     case MessageKind.Ask:
-      return [message.question, listOfSender(message.sender), encodeReport(message.report)];
+      return [message.question, encodeSender(message.sender), encodeReport(message.report)];
     case MessageKind.Read: {
       const { kind, revision, waitMs, base } = message.question;
-      return [listOfSender(message.sender), kind, revision, Math.ceil(waitMs), base];
+      return [encodeSender(message.sender), kind, revision, Math.ceil(waitMs), base];
     }
     case MessageKind.News:
-      return [listOfSender(message.sender), message.topic, message.content, message.shouldForward];
+      return [encodeSender(message.sender), message.topic, message.content, message.shouldForward];
     case MessageKind.ReadResult:
       return [message.bytes];
     case MessageKind.QuotaAsk:
-      return [listOfSender(message.sender), message.tenant, message.wanted];
+      return [encodeSender(message.sender), message.tenant, message.wanted];
     case MessageKind.QuotaGranted:
       return [message.granted, Math.ceil(message.dryMs)];
     case MessageKind.TurnedAway: {
@@ -72,7 +75,7 @@
   }
 }
 
-/** Reads the value of a frame; undefined when it is no message. */
+/** Decodes the value of a frame. Undefined if it is not a valid message. */
 export function decodeMessage(value: unknown): PeerMessage | undefined {
   if (!Array.isArray(value)) {
     return undefined;
@@ -80,23 +83,23 @@
   const [kind, ...content] = value as [MessageKind, ...unknown[]];
   switch (kind) {
     case MessageKind.Offer:
-      return readOffer(content);
+      return decodeOffer(content);
     case MessageKind.Chunk: {
       const [bytes, isLast] = content;
       return Buffer.isBuffer(bytes) ? { kind, bytes, isLast: isLast === true } : undefined;
     }
     case MessageKind.Ask:
-      return readAsk(content);
+      return decodeQuery(content);
     case MessageKind.Read:
-      return readRead(content);
+      return decodeRead(content);
     case MessageKind.News:
-      return readNews(content);
+      return decodeAnnouncement(content);
     case MessageKind.ReadResult: {
       const [bytes] = content;
       return Buffer.isBuffer(bytes) ? { kind, bytes } : undefined;
     }
     case MessageKind.QuotaAsk:
-      return readQuotaAsk(content);
+      return decodeQuotaRequest(content);
     case MessageKind.QuotaGranted: {
       const [granted, dryMs] = content;
       return isNonNegativeInteger(granted) && isNonNegativeInteger(dryMs)
@@ -104,19 +107,19 @@
         : undefined;
     }
     case MessageKind.TurnedAway:
-      return readTurnedAway(content);
+      return decodeRejection(content);
     case MessageKind.Lost: {
-      const [reason, told] = content;
-      const report = decodeReport(told);
+      const [reason, encodedReport] = content;
+      const report = decodeReport(encodedReport);
       return report && typeof reason === 'string'
-        ? { kind, outcome: unknownFor(reason as OwnerUnknown['reason']), report }
+        ? { kind, outcome: createUnknown(reason as OwnerUnknown['reason']), report }
         : undefined;
     }
     case MessageKind.Answer:
-      return readAnswer(content);
+      return decodeAnswer(content);
     case MessageKind.Told: {
       const report = decodeReport(content[0]);
-      return report && { kind, report, bytes: bytesOrNone(content[1]) };
+      return report && { kind, report, bytes: bytesOrUndefined(content[1]) };
     }
     case MessageKind.Ping:
     case MessageKind.Pong:
@@ -130,77 +133,88 @@
   }
 }
 
-function readOffer([sender, task, method, target, headers, body]: unknown[]):
+function decodeOffer([encodedSender, encodedTask, method, target, headers, body]: unknown[]):
   | OfferMessage
   | undefined {
-  const from = readSender(sender);
-  const fields = decodeTask(task);
-  if (!from || !fields || typeof method !== 'string' || typeof target !== 'string') {
+  const sender = decodeSender(encodedSender);
+  const task = decodeTask(encodedTask);
+  if (!sender || !task || typeof method !== 'string' || typeof target !== 'string') {
     return undefined;
   }
-  if (!isTexts(headers)) {
+  if (!isStringArray(headers)) {
     return undefined;
   }
   return {
     kind: MessageKind.Offer,
-    sender: from,
-    task: fields,
+    sender,
+    task,
     method,
     target,
     headers,
-    body: bytesOrNone(body),
+    body: bytesOrUndefined(body),
   };
 }
 
-function readAsk([question, sender, report]: unknown[]): QueryMessage | undefined {
-  const from = readSender(sender);
-  const told = decodeReport(report);
+function decodeQuery([question, encodedSender, encodedReport]: unknown[]):
+  | QueryMessage
+  | undefined {
+  const sender = decodeSender(encodedSender);
+  const report = decodeReport(encodedReport);
   const isKnown = Object.values(PeerQuery).includes(question as PeerQuery);
-  return from && told && isKnown
-    ? { kind: MessageKind.Ask, question: question as PeerQuery, sender: from, report: told }
+  return sender && report && isKnown
+    ? { kind: MessageKind.Ask, question: question as PeerQuery, sender, report }
     : undefined;
 }
 
-function readNews([sender, topic, news, shouldForward]: unknown[]):
+function decodeAnnouncement([encodedSender, topic, content, shouldForward]: unknown[]):
   | AnnouncementMessage
   | undefined {
-  const from = readSender(sender);
+  const sender = decodeSender(encodedSender);
   const isKnown = Object.values(AnnouncementTopic).includes(topic as AnnouncementTopic);
-  return from && isKnown
+  return sender && isKnown
     ? {
         kind: MessageKind.News,
-        sender: from,
+        sender,
         topic: topic as AnnouncementTopic,
-        content: news,
+        content,
         shouldForward: shouldForward === true,
       }
     : undefined;
 }
 
-function readRead([sender, kind, revision, waitMs, base]: unknown[]): ReadMessage | undefined {
-  const from = readSender(sender);
-  if (!from || typeof kind !== 'string' || typeof waitMs !== 'number') {
+function decodeRead([encodedSender, kind, revision, waitMs, base]: unknown[]):
+  | ReadMessage
+  | undefined {
+  const sender = decodeSender(encodedSender);
+  if (!sender || typeof kind !== 'string' || typeof waitMs !== 'number') {
     return undefined;
   }
-  const question = { kind, revision: numberOrNone(revision), waitMs, base: numberOrNone(base) };
-  return { kind: MessageKind.Read, sender: from, question };
+  const question = {
+    kind,
+    revision: numberOrUndefined(revision),
+    waitMs,
+    base: numberOrUndefined(base),
+  };
+  return { kind: MessageKind.Read, sender, question };
 }
 
-function readQuotaAsk([sender, tenant, wanted]: unknown[]): QuotaRequestMessage | undefined {
-  const from = readSender(sender);
-  return from && typeof tenant === 'string' && isNonNegativeInteger(wanted)
-    ? { kind: MessageKind.QuotaAsk, sender: from, tenant, wanted }
+function decodeQuotaRequest([encodedSender, tenant, wanted]: unknown[]):
+  | QuotaRequestMessage
+  | undefined {
+  const sender = decodeSender(encodedSender);
+  return sender && typeof tenant === 'string' && isNonNegativeInteger(wanted)
+    ? { kind: MessageKind.QuotaAsk, sender, tenant, wanted }
     : undefined;
 }
 
-function unknownFor(reason: OwnerUnknown['reason']): OwnerUnknown {
+function createUnknown(reason: OwnerUnknown['reason']): OwnerUnknown {
   return { kind: 'unknown', reason };
 }
 
-function readTurnedAway([reason, arrived, retryAfterMs, told]: unknown[]):
+function decodeRejection([reason, arrived, retryAfterMs, encodedReport]: unknown[]):
   | RejectedMessage
   | undefined {
-  const report = decodeReport(told);
+  const report = decodeReport(encodedReport);
   if (!report || typeof reason !== 'string') {
     return undefined;
   }
@@ -213,37 +227,39 @@
   return { kind: MessageKind.TurnedAway, outcome, report };
 }
 
-function readAnswer([status, headers, body, told]: unknown[]): AnswerMessage | undefined {
-  const report = decodeReport(told);
-  return report && isStatus(status) && isTexts(headers)
-    ? { kind: MessageKind.Answer, status, headers, body: bytesOrNone(body), report }
+function decodeAnswer([status, headers, body, encodedReport]: unknown[]):
+  | AnswerMessage
+  | undefined {
+  const report = decodeReport(encodedReport);
+  return report && isStatus(status) && isStringArray(headers)
+    ? { kind: MessageKind.Answer, status, headers, body: bytesOrUndefined(body), report }
     : undefined;
 }
 
-/** A status code of HTTP. */
+/** True for a status code of HTTP. */
 function isStatus(value: unknown): value is number {
-  return isNonNegativeInteger(value) && value >= LEAST_STATUS && value <= LARGEST_STATUS;
+  return isNonNegativeInteger(value) && value >= MIN_STATUS && value <= MAX_STATUS;
 }
 
-function listOfSender({ address, version }: PeerSender): unknown[] {
+function encodeSender({ address, version }: PeerSender): unknown[] {
   return [address, version];
 }
 
-function readSender(value: unknown): PeerSender | undefined {
+function decodeSender(value: unknown): PeerSender | undefined {
   const [address, version] = Array.isArray(value) ? value : [];
   return typeof address === 'string' && typeof version === 'number'
     ? { address, version }
     : undefined;
 }
 
-function numberOrNone(value: unknown): number | undefined {
+function numberOrUndefined(value: unknown): number | undefined {
   return typeof value === 'number' ? value : undefined;
 }
 
-function bytesOrNone(value: unknown): Buffer | undefined {
+function bytesOrUndefined(value: unknown): Buffer | undefined {
   return Buffer.isBuffer(value) ? value : undefined;
 }
 
-function isTexts(value: unknown): value is string[] {
+function isStringArray(value: unknown): value is string[] {
   return Array.isArray(value) && value.every((item) => typeof item === 'string');
 }
--- a/src/peer/peerConnection.ts
+++ b/src/peer/peerConnection.ts
@@ -1,4 +1,7 @@
-/** One TCP connection between two nodes: messages in both directions, one exchange at a time. */
+/**
+ * One TCP connection between two nodes. It carries messages in both directions and one exchange at
+ * a time.
+ */
 import type { Socket } from 'node:net';
 import { FrameReader } from '../codec/frame.js';
 import type { MessageBody } from '../owner/message-body.js';
@@ -6,49 +9,52 @@
 import { decodeMessage, encodeMessage } from './peerCodec.js';
 import { MAX_CHUNK_BYTES, MessageKind, type PeerMessage } from './peerMessages.js';
 
-/** Who hears what happens on a connection. */
+/** Receives the events of a connection. */
 export interface PeerListener {
   onMessage(message: PeerMessage): void;
-  /** Called once, when nothing more will come. */
+  /** Called once, when no more messages can arrive. */
   onClose(): void;
 }
 
-/** Messages over one socket. */
+/** Sends and receives messages over one socket. */
 export interface PeerConnection {
-  /** True once the connection has stood: before that, nothing that was sent can have arrived. */
+  /** True once the socket has connected. Until then nothing that was sent can have arrived. */
   readonly wasEstablished: boolean;
   readonly isClosed: boolean;
-  /** Replaces the listener: each exchange brings its own. */
+  /** Replaces the listener; each exchange sets its own. */
   setListener(listener: PeerListener): void;
   send(message: PeerMessage): void;
-  /** Sends a body as chunks, at the speed of the reader; rejects when either side breaks off. */
+  /**
+   * Sends a body in chunks, as fast as the receiver acknowledges them. Rejects if the body cannot
+   * be read to its end or the connection is lost.
+   */
   sendBody(body: MessageBody): Promise<void>;
-  /** Stops or goes on reading: a slow consumer holds the sender up. */
+  /** Pauses or resumes reading, so that a slow consumer slows the sender down. */
   setPaused(paused: boolean): void;
   destroy(): void;
 }
 
-/** Hears of every message that is sent, with its size in bytes. */
+/** Called for every message that is sent, with its size in bytes. */
 export type SentObserver = (kind: MessageKind, bytes: number) => void;
 
-/** What connections have beside their sockets. */
+/** Options of a connection. */
 export interface ConnectionOptions {
   readonly onSent?: SentObserver | undefined;
-  /** How much of a body may be on its way; as over a wide link when left out. */
+  /** How much of a body may be in flight. The default is the window of an unlimited link. */
   readonly window?: SendWindow | undefined;
 }
 
 const NO_LISTENER: PeerListener = { onMessage: () => {}, onClose: () => {} };
 
-/** Takes a socket over, connected or connecting. */
+/** Wraps a socket that is connected or connecting. */
 export function createPeerConnection(
   socket: Socket,
   { onSent = () => {}, window = sendWindowOf() }: ConnectionOptions = {},
 ): PeerConnection {
-  const reader = new FrameReader();
+  const frameReader = new FrameReader();
   let listener = NO_LISTENER;
   let isClosed = false;
-  let hasStood = !socket.connecting;
+  let wasEstablished = !socket.connecting;
   const send = (message: PeerMessage): void => {
     if (!socket.destroyed) {
       const frame = encodeMessage(message);
@@ -56,10 +62,10 @@
       socket.write(frame);
     }
   };
-  const bodies = createBodySender({ send, writable: () => writable(socket) }, window);
-  const take = (message: PeerMessage): void => {
+  const bodySender = createBodySender({ send, writable: () => writable(socket) }, window);
+  const receive = (message: PeerMessage): void => {
     if (message.kind === MessageKind.ChunkReceived) {
-      bodies.onAcknowledged();
+      bodySender.onAcknowledged();
       return;
     }
     if (message.kind === MessageKind.Chunk) {
@@ -69,27 +75,27 @@
   };
   socket.setNoDelay(true);
   socket.on('connect', () => {
-    hasStood = true;
+    wasEstablished = true;
   });
   socket.on('error', () => {});
   socket.on('close', () => {
     isClosed = true;
-    bodies.onClose();
+    bodySender.onClose();
     listener.onClose();
   });
   socket.on('data', (bytes) => {
-    for (const value of reader.read(bytes) ?? [undefined]) {
+    for (const value of frameReader.read(bytes) ?? [undefined]) {
       const message = decodeMessage(value);
       if (!message) {
         socket.destroy();
         return;
       }
-      take(message);
+      receive(message);
     }
   });
   return {
     get wasEstablished() {
-      return hasStood;
+      return wasEstablished;
     },
     get isClosed() {
       return isClosed || socket.destroyed;
@@ -98,7 +104,7 @@
       listener = next;
     },
     send,
-    sendBody: (body) => bodies.sendBody(body),
+    sendBody: (body) => bodySender.sendBody(body),
     setPaused: (paused) => {
       if (paused) {
         socket.pause();
@@ -110,12 +116,12 @@
   };
 }
 
-/** The bytes of a short body, or undefined if it has to travel in chunks. */
+/** The bytes of a body that fits into a message. Undefined if it has to be sent in chunks. */
 export function inlineBytes(body: MessageBody): Buffer | undefined {
   return body.kind === 'bytes' && body.bytes.length <= MAX_CHUNK_BYTES ? body.bytes : undefined;
 }
 
-/** Resolves when the socket takes more. */
+/** Resolves when the socket can take more data; rejects if it closes first. */
 function writable(socket: Socket): Promise<void> {
   if (socket.destroyed) {
     return Promise.reject(new Error('the connection was lost'));
--- a/src/peer/peerConnectionPool.ts
+++ b/src/peer/peerConnectionPool.ts
@@ -1,4 +1,4 @@
-/** Kept connections to one other node: each carries one exchange at a time, the rest are idle. */
+/** Pools the connections to one other node. Each carries at most one exchange at a time. */
 
 import net from 'node:net';
 import { endpointOf } from '../model/endpoint.js';
@@ -8,27 +8,27 @@
   type PeerConnection,
 } from './peerConnection.js';
 
-/** An idle connection is closed after this time, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_LIMIT_MS = 30_000;
 
-/** The connections of this node to another one. */
+/** The connections from this node to one other node. */
 export interface PeerConnectionPool {
-  /** An idle connection, or a new one that may still be connecting. */
+  /** Returns an idle connection, or a new one that may still be connecting. */
   acquire(): PeerConnection;
-  /** Gives a connection back whose exchange has ended on both sides. */
+  /** Makes a connection idle. Its exchange must have ended on both sides. */
   release(connection: PeerConnection): void;
-  /** Closes what is idle. */
+  /** Closes all idle connections. */
   closeIdle(): void;
 }
 
-/** `address` is `host:port` of the node. */
+/** Creates the pool for the node at `address`, given as `host:port`. */
 export function createPeerConnectionPool(
   address: string,
-  traits: ConnectionOptions = {},
+  options: ConnectionOptions = {},
 ): PeerConnectionPool {
   const { host, port } = endpointOf(address);
   const idle: PeerConnection[] = [];
-  const forget = (connection: PeerConnection) => {
+  const removeIdle = (connection: PeerConnection) => {
     const index = idle.indexOf(connection);
     if (index >= 0) {
       idle.splice(index, 1);
@@ -36,13 +36,13 @@
   };
   return {
     acquire: () => {
-      for (let kept = idle.pop(); kept; kept = idle.pop()) {
-        if (!kept.isClosed) {
-          return kept;
+      for (let candidate = idle.pop(); candidate; candidate = idle.pop()) {
+        if (!candidate.isClosed) {
+          return candidate;
         }
       }
       const socket = net.connect({ host, port });
-      const connection = createPeerConnection(socket, traits);
+      const connection = createPeerConnection(socket, options);
       socket.setTimeout(IDLE_LIMIT_MS, () => {
         if (idle.includes(connection)) {
           socket.destroy();
@@ -55,9 +55,9 @@
         return;
       }
       connection.setListener({
-        // Nothing is owed on an idle connection.
+        // No message is expected on an idle connection: the other node breaks the protocol.
         onMessage: () => connection.destroy(),
-        onClose: () => forget(connection),
+        onClose: () => removeIdle(connection),
       });
       idle.push(connection);
     },
--- a/src/peer/peerMessages.ts
+++ b/src/peer/peerMessages.ts
@@ -1,81 +1,80 @@
 /**
- * The messages by which nodes hand tasks to one another: frames of CBOR on TCP, one exchange on a
- * connection at a time.
+ * The messages between nodes: frames of CBOR over TCP, with one exchange at a time on a connection.
  *
- * A task that may be repeated travels with its body in one message. Any other is offered by its
- * head alone: only after `admitted` does the ingress send the body, so until then the owner cannot
- * have run the task, and an owner that stays silent has certainly not run it.
+ * An offer of a repeatable task may contain the body. Any other offer contains the head alone, and
+ * the ingress sends the body only after the owner has sent `Admitted`. Until then the owner cannot
+ * run the task, so an owner that does not respond to the offer has certainly not run it.
  */
 import type { OwnerNotRun, OwnerTask, OwnerUnknown } from '../owner/owner.js';
 import type { OwnerReport } from '../owner/owner-report.js';
 import type { StoreQuery } from '../source/object-store.js';
 
-/** What a message is. Numbers, since they travel with every message. */
+/** The kind of a message. The values are numbers because every message contains one. */
 export enum MessageKind {
-  /** Ingress to owner: a task, with its body or without. */
+  /** Ingress to owner: a task, with or without its body. */
   Offer = 1,
-  /** Either way: a part of a body. */
+  /** In either direction: a part of a body. */
   Chunk = 2,
-  /** Ingress to owner: is this exchange still alive? */
+  /** Ingress to owner: checks that the owner still answers this exchange. */
   Ping = 3,
-  /** Asks for a node's status, its configuration or the owners it knows. */
+  /** Queries a node; see {@link PeerQuery}. */
   Ask = 4,
-  /** Asks a node that reads the store for its zone. */
+  /** Reads from the store by way of the reader of a zone. */
   Read = 5,
-  /** Either way: a chunk has been received. */
+  /** In either direction: acknowledges a chunk. */
   ChunkReceived = 6,
-  /** What a node has found out and all others are to know; answered like a ping. */
+  /** An announcement to all nodes; acknowledged with a pong. */
   News = 7,
-  /** Asks a node that holds a part of a tenant's quota for requests. */
+  /** Requests tokens from a node that holds a part of a tenant's quota. */
   QuotaAsk = 8,
-  /** Owner to ingress: the task waits. */
+  /** Owner to ingress: the task is queued. */
   Queued = 10,
-  /** Owner to ingress: send the body. */
+  /** Owner to ingress: the task is admitted; the ingress has to send the body. */
   Admitted = 11,
-  /** Owner to ingress: the task has not run and never will. */
+  /** Owner to ingress: the task is rejected; it has not run and never will. */
   TurnedAway = 12,
-  /** Owner to ingress: the task may have run. */
+  /** Owner to ingress: the outcome is unknown; the task may have run. */
   Lost = 13,
-  /** Owner to ingress: the back end's answer; the body follows in chunks unless it is in here. */
+  /** Owner to ingress: the back end's answer. The body follows in chunks unless it is included. */
   Answer = 14,
-  /** Answer to a ping. */
+  /** Answer to a ping or an announcement. */
   Pong = 15,
-  /** Answer to an ask. */
+  /** Answer to a query. */
   Told = 16,
   /** Answer to a read. */
   ReadResult = 17,
   /** Owner to ingress: the back end does not seem to answer the task. */
   Overdue = 18,
-  /** Answer to a quota ask. */
+  /** Answer to a quota request. */
   QuotaGranted = 19,
 }
 
-/** What news is about. Numbers, since they travel with every message. */
+/** The topic of an announcement. The values are numbers to keep the messages short. */
 export enum AnnouncementTopic {
   /** Requests that crash back ends. */
   Crashes = 1,
-  /** What tenants have used of their quotas. */
+  /** Use of quotas by tenants. */
   Quotas = 2,
-  /** How a roll-out goes. */
+  /** Progress of roll-outs. */
   Rollouts = 3,
 }
 
-/** What may be asked of a node. */
+/** What a node can be queried for. */
 export enum PeerQuery {
   Status = 'status',
   Configuration = 'configuration',
   Directory = 'directory',
-  /** What tenants have used of late. */
+  /** Recent requests of tenants. */
   TenantUse = 'tenant-use',
 }
 
 /**
- * Bodies up to this size, in bytes, may travel inside a message; longer ones travel in chunks of this
- * size at the most.
+ * Largest body that a message can contain, in bytes. Longer bodies are sent in chunks of at most
+ * this size.
  */
 export const MAX_CHUNK_BYTES = 64 * 1024;
 
-/** What travels of a task beside its method, target, fields and body. */
+/** The part of a task that is sent besides its method, target, header fields and body. */
 export interface TaskFields {
   readonly service: string;
   readonly route: string;
@@ -84,22 +83,22 @@
   readonly priority: number;
   readonly repeatable: boolean;
   readonly hasBody: boolean;
-  /** Milliseconds that are left. */
+  /** Milliseconds until the deadline; negative once it has passed. */
   readonly remainingMs: number;
-  /** Milliseconds until the target latency. */
+  /** Milliseconds until the target latency; negative once it has passed. */
   readonly targetMs: number;
   readonly requestId: string;
   readonly mayWait: boolean;
   readonly fingerprint: string;
 }
 
-/** Who sends a message. */
+/** The sender of a message, with the version of its configuration. */
 export interface PeerSender {
   readonly address: string;
   readonly version: number;
 }
 
-/** A report with the sender's configuration version. */
+/** A report with the version of the sender's configuration. */
 export interface PeerReport extends OwnerReport {
   readonly version: number;
 }
@@ -112,7 +111,7 @@
   readonly target: string;
   /** End-to-end header fields as a flat list of names and values. */
   readonly headers: readonly string[];
-  /** Present if the owner may run the task at once. */
+  /** The body, if the owner may run the task at once. Undefined if it has to be requested. */
   readonly body: Buffer | undefined;
 }
 
@@ -139,9 +138,9 @@
   readonly kind: MessageKind.News;
   readonly sender: PeerSender;
   readonly topic: AnnouncementTopic;
-  /** A value of CBOR; who listens to the topic reads and checks it. */
+  /** Any CBOR value; the receivers of the topic decode and validate it. */
   readonly content: unknown;
-  /** True if the receiver is to pass it on to the nodes of its zone. */
+  /** True if the receiver has to forward the announcement to the nodes of its zone. */
   readonly shouldForward: boolean;
 }
 
@@ -149,20 +148,20 @@
   readonly kind: MessageKind.QuotaAsk;
   readonly sender: PeerSender;
   readonly tenant: string;
-  /** Requests that wait. */
+  /** Number of waiting requests. */
   readonly wanted: number;
 }
 
 export interface QuotaGrantedMessage {
   readonly kind: MessageKind.QuotaGranted;
   readonly granted: number;
-  /** Milliseconds until there is more. */
+  /** Milliseconds until the holder has another token. */
   readonly dryMs: number;
 }
 
 export interface ReadResultMessage {
   readonly kind: MessageKind.ReadResult;
-  /** See `storeResultCodec`. */
+  /** The result as encoded by `storeResultCodec`. */
   readonly bytes: Buffer;
 }
 
@@ -189,11 +188,11 @@
 export interface QueryResultMessage {
   readonly kind: MessageKind.Told;
   readonly report: PeerReport;
-  /** Undefined when the node does not know what was asked. */
+  /** Undefined if the node does not have the requested data or only its report was requested. */
   readonly bytes: Buffer | undefined;
 }
 
-/** A message without a content of its own. */
+/** A message without content. */
 export interface EmptyMessage {
   readonly kind:
     | MessageKind.Ping
@@ -219,7 +218,7 @@
   | QuotaGrantedMessage
   | EmptyMessage;
 
-/** The fields of a task as they travel; `now` is the present steady time in milliseconds. */
+/** Extracts the fields to send from a task; `now` is the current steady time in milliseconds. */
 export function taskFieldsOf(task: OwnerTask, now: number): TaskFields {
   return {
     service: task.service,
--- a/src/peer/peerServer.ts
+++ b/src/peer/peerServer.ts
@@ -1,4 +1,7 @@
-/** Listens for other nodes: runs their tasks on the local owner, tells status and configuration. */
+/**
+ * Serves the requests of other nodes: runs their tasks on the local owner, answers their queries,
+ * store reads and quota requests, and receives their announcements.
+ */
 import net from 'node:net';
 import type { Clock } from '../model/clock.js';
 import { Cancellation } from '../owner/cancellation.js';
@@ -23,38 +26,41 @@
   type QueryMessage,
 } from './peerMessages.js';
 
-/** A body up to this size, in bytes, is read whole before the back end gets it. */
-const MAX_HELD_BODY_BYTES = 1024 * 1024;
+/** Largest body, in bytes, that is buffered whole before it is sent to the back end. */
+const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 
-/** Said by a node that holds no part of a quota: it is asked again after this time, in milliseconds. */
-const NO_PART = { granted: 0, dryMs: 250 };
+/**
+ * Answer of a node that holds no part of a quota. The requester asks this node again after `dryMs`
+ * milliseconds.
+ */
+const NO_QUOTA_PART = { granted: 0, dryMs: 250 };
 
-/** What the server needs of its node. */
+/** Dependencies of the server. */
 export interface PeerServerContext {
   readonly clock: Clock;
   readonly owner: Owner;
   readonly report: () => PeerReport;
-  /** The configuration as bytes, or undefined while none is held. */
+  /** The encoded configuration. Undefined while the node has none. */
   readonly configuration: () => Buffer | undefined;
-  /** The known owners as bytes, or undefined while they are not known. */
+  /** The encoded list of known owners. Undefined until the node has one. */
   readonly directory: () => Buffer | undefined;
-  /** What tenants have used here of late, as bytes. */
+  /** The encoded counts of recent requests of tenants at this node. */
   readonly tenantUse: () => Buffer;
-  /** Answers a node that reads the store by way of this one. */
+  /** Reads from the store for another node; resolves with the encoded result. */
   readonly readStore: (question: StoreQuery) => Promise<Buffer>;
-  /** Answers a node that asks for requests of a tenant; undefined where no part of its quota is held. */
+  /** Grants tokens of a tenant to another node. Undefined if this node holds no quota part. */
   readonly grantQuota: (
     tenant: string,
     wanted: number,
   ) => { readonly granted: number; readonly dryMs: number } | undefined;
   readonly connectionOptions?: ConnectionOptions;
-  /** Another node tells news. */
+  /** Called with each announcement of another node. */
   readonly onAnnouncement: (message: AnnouncementMessage) => void;
-  /** Called with whatever another node says of itself. */
+  /** Called with the sender of each offer, query, read and quota request; a query has a report. */
   readonly onPeerContact: (sender: PeerSender, report: PeerReport | undefined) => void;
 }
 
-/** One per node. */
+/** Accepts connections from other nodes. There is one instance per node. */
 export class PeerServer {
   private readonly server: net.Server;
   private readonly connections = new Set<PeerConnection>();
@@ -92,7 +98,7 @@
           return;
         case MessageKind.Ask:
           context.onPeerContact(message.sender, message.report);
-          connection.send(tell(message, context));
+          connection.send(answerQuery(message, context));
           return;
         case MessageKind.Read:
           context.onPeerContact(message.sender, undefined);
@@ -104,7 +110,7 @@
           context.onPeerContact(message.sender, undefined);
           connection.send({
             kind: MessageKind.QuotaGranted,
-            ...(context.grantQuota(message.tenant, message.wanted) ?? NO_PART),
+            ...(context.grantQuota(message.tenant, message.wanted) ?? NO_QUOTA_PART),
           });
           return;
         case MessageKind.News:
@@ -115,7 +121,7 @@
           connection.send({ kind: MessageKind.Pong });
           return;
         case MessageKind.Chunk:
-          if (exchange?.takeChunk(message)) {
+          if (exchange?.onChunk(message)) {
             return;
           }
           break;
@@ -127,11 +133,15 @@
   });
 }
 
-function tell({ question }: QueryMessage, context: PeerServerContext): PeerMessage {
-  return { kind: MessageKind.Told, report: context.report(), bytes: bytesFor(question, context) };
+function answerQuery({ question }: QueryMessage, context: PeerServerContext): PeerMessage {
+  return {
+    kind: MessageKind.Told,
+    report: context.report(),
+    bytes: queryResult(question, context),
+  };
 }
 
-function bytesFor(question: PeerQuery, context: PeerServerContext): Buffer | undefined {
+function queryResult(question: PeerQuery, context: PeerServerContext): Buffer | undefined {
   switch (question) {
     case PeerQuery.Configuration:
       return context.configuration();
@@ -144,7 +154,7 @@
   }
 }
 
-/** One task of another node, from its offer to its outcome. */
+/** Runs one task of another node, from its offer to its outcome. */
 class TaskExchange {
   private readonly cancellation = new Cancellation();
   private receiver: BodyReceiver | undefined;
@@ -165,8 +175,8 @@
     }
   }
 
-  /** False when no part of a body is due. */
-  takeChunk(chunk: PeerMessage & { kind: MessageKind.Chunk }): boolean {
+  /** Returns false if no chunk is expected. */
+  onChunk(chunk: PeerMessage & { kind: MessageKind.Chunk }): boolean {
     if (!this.receiver || this.receiver.isComplete) {
       return false;
     }
@@ -194,7 +204,7 @@
       targetAt: now + task.targetMs,
       cancellation: this.cancellation,
       bufferedBody,
-      loadBody: () => (bufferedBody ? Promise.resolve(bufferedBody) : this.askForBody()),
+      loadBody: () => (bufferedBody ? Promise.resolve(bufferedBody) : this.requestBody()),
       onProgress: (stage) => {
         if (stage === 'queued' && !bufferedBody) {
           this.connection.send({ kind: MessageKind.Queued });
@@ -206,8 +216,8 @@
     };
   }
 
-  private askForBody(): BodyReceiver['body'] {
-    this.receiver = createBodyReceiver(this.connection, MAX_HELD_BODY_BYTES);
+  private requestBody(): BodyReceiver['body'] {
+    this.receiver = createBodyReceiver(this.connection, MAX_BUFFERED_BODY_BYTES);
     this.connection.send({ kind: MessageKind.Admitted });
     return this.receiver.body;
   }
--- a/src/peer/pooledPeerClient.ts
+++ b/src/peer/pooledPeerClient.ts
@@ -1,4 +1,7 @@
-/** Short calls to other nodes that come often, on connections that are kept: reads of the store, quotas. */
+/**
+ * Sends short and frequent requests to other nodes over pooled connections: reads of the store by
+ * way of a reader, and requests for tokens of a tenant's quota.
+ */
 import type { StoreQuery } from '../source/object-store.js';
 import type { SentObserver } from './peerConnection.js';
 import { createPeerConnectionPool, type PeerConnectionPool } from './peerConnectionPool.js';
@@ -9,17 +12,17 @@
   type QuotaGrantedMessage,
 } from './peerMessages.js';
 
-/** Asks other nodes for what they know of the store. */
+/** Sends reads and quota requests to other nodes. */
 export interface PooledPeerClient {
-  /** The node's packed answer; undefined when it does not come in time. */
+  /** Returns the node's encoded result. Undefined if it does not arrive in time. */
   read(address: string, question: StoreQuery, timeoutMs: number): Promise<Buffer | undefined>;
-  /** Asks the holder of a part of a tenant's quota; undefined when it does not answer in time. */
+  /** Requests tokens from the holder of a quota part. Undefined if it does not answer in time. */
   requestQuota(
     address: string,
-    ask: { readonly tenant: string; readonly wanted: number },
+    request: { readonly tenant: string; readonly wanted: number },
     timeoutMs: number,
   ): Promise<QuotaGrantedMessage | undefined>;
-  /** Closes the connections that are kept. */
+  /** Closes all idle connections. */
   closeIdle(): void;
 }
 
@@ -29,9 +32,9 @@
 ): PooledPeerClient {
   const pools = new Map<string, PeerConnectionPool>();
   const poolOf = (address: string): PeerConnectionPool => {
-    const known = pools.get(address) ?? createPeerConnectionPool(address, { onSent });
-    pools.set(address, known);
-    return known;
+    const pool = pools.get(address) ?? createPeerConnectionPool(address, { onSent });
+    pools.set(address, pool);
+    return pool;
   };
   const closeIdle = () => {
     for (const pool of pools.values()) {
@@ -48,7 +51,8 @@
       const connection = pool.acquire();
       const timer = setTimeout(() => {
         connection.destroy();
-        // Those that rest may have gone silent with this one: the next call gets a new one.
+        // The fault that silenced this connection may have silenced the idle ones too, so the next
+        // request gets a new connection.
         closeIdle();
       }, timeoutMs);
       connection.setListener({
@@ -74,8 +78,8 @@
       const reply = await exchange(address, message, timeoutMs);
       return reply?.kind === MessageKind.ReadResult ? reply.bytes : undefined;
     },
-    requestQuota: async (address, ask, timeoutMs) => {
-      const message = { kind: MessageKind.QuotaAsk, sender: sender(), ...ask } as const;
+    requestQuota: async (address, request, timeoutMs) => {
+      const message = { kind: MessageKind.QuotaAsk, sender: sender(), ...request } as const;
       const reply = await exchange(address, message, timeoutMs);
       return reply?.kind === MessageKind.QuotaGranted ? reply : undefined;
     },
--- a/src/peer/remoteOwner.ts
+++ b/src/peer/remoteOwner.ts
@@ -5,7 +5,7 @@
 import type { PeerState, RemoteOwnerContext } from './peerState.js';
 import { RemoteRun } from './remoteRun.js';
 
-/** One for each other node. */
+/** Sends tasks to the owner on one other node. There is one instance per node. */
 export class RemoteOwner implements Owner {
   private readonly peer: PeerState;
 
--- a/src/peer/remoteRun.ts
+++ b/src/peer/remoteRun.ts
@@ -1,4 +1,4 @@
-/** One task at an owner on another node, from its offer to its outcome. */
+/** Runs one task at an owner on another node, from the offer to the outcome. */
 import type { MessageBody } from '../owner/message-body.js';
 import type { OwnerOutcome, OwnerTask, OwnerUnknown } from '../owner/owner.js';
 import { createRejection } from '../owner/owner.js';
@@ -8,36 +8,37 @@
 import { type AnswerMessage, MessageKind, type PeerMessage, taskFieldsOf } from './peerMessages.js';
 import type { PeerState, RemoteOwnerContext } from './peerState.js';
 
-/** An answer up to this size, in bytes, is read whole before any of it is passed on. */
-const MAX_HELD_ANSWER_BYTES = 256 * 1024;
+/** Largest body of an answer, in bytes, that is buffered whole before it is passed on. */
+const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
 
 /**
- * A node that has been heard of within this time, in milliseconds, gets a task that may be repeated
- * together with its body. One that has not may be gone: it is asked first, which costs nothing of
- * the retry budget.
+ * An offer of a repeatable task contains the body if the node has sent any message within this
+ * time, in milliseconds. A node without such recent contact may be down and gets the head alone: if
+ * it does not respond, the task has certainly not run, and another attempt costs nothing of the
+ * retry budget.
  */
-const FRESH_MS = 1_000;
+const RECENT_CONTACT_MS = 1_000;
 
-/** How far an exchange has come. */
+/** Progress of an exchange. */
 enum Stage {
-  /** Offered; the owner has said nothing yet. */
+  /** The offer is sent; the owner has not responded. */
   Offered = 'offered',
-  /** The owner has queued it. */
+  /** The owner has queued the task. */
   Queued = 'queued',
-  /** The owner has, or may have, all it needs to run the task. */
+  /** The body is being sent or has been sent, so the owner may run the task. */
   Committed = 'committed',
 }
 
-/** Created for each task; `run` is called once. */
+/** Created for each task; `run` may be called only once. */
 export class RemoteRun {
   private stage = Stage.Offered;
   private settled = false;
-  /** True from the owner's admission until the last chunk of the request's body is sent. */
-  private owesBody = false;
+  /** True from the owner's admission until the last chunk of the request body is sent. */
+  private isBodyPending = false;
   private answer: { readonly message: AnswerMessage; readonly receiver: BodyReceiver } | undefined;
-  private readonly patience: LivenessTimer;
+  private readonly livenessTimer: LivenessTimer;
   private readonly connection: PeerConnection;
-  private forget: () => void = () => {};
+  private unsubscribe: () => void = () => {};
   private resolve: (outcome: OwnerOutcome) => void = () => {};
 
   constructor(
@@ -46,7 +47,7 @@
     private readonly context: RemoteOwnerContext,
   ) {
     this.connection = peer.pool.acquire();
-    this.patience = createLivenessTimer({
+    this.livenessTimer = createLivenessTimer({
       clock: context.clock,
       peer,
       isOfferPending: () => this.stage === Stage.Offered,
@@ -63,7 +64,7 @@
         onMessage: (message) => this.onMessage(message),
         onClose: () => this.onClose(),
       });
-      this.forget = this.task.cancellation.onCancel(() => this.onCancel());
+      this.unsubscribe = this.task.cancellation.onCancel(() => this.onCancel());
       this.offer();
     });
   }
@@ -71,8 +72,8 @@
   private offer(): void {
     const { clock, sender } = this.context;
     const now = clock.now();
-    const body = this.bodyToSendAtOnce(now);
-    this.patience.start();
+    const body = this.bodyForOffer(now);
+    this.livenessTimer.start();
     this.connection.send({
       kind: MessageKind.Offer,
       sender: sender(),
@@ -88,20 +89,20 @@
     }
   }
 
-  private bodyToSendAtOnce(now: number): Buffer | undefined {
+  private bodyForOffer(now: number): Buffer | undefined {
     const { repeatable, bufferedBody } = this.task;
-    const isFresh = now - this.peer.lastReceivedAt < FRESH_MS;
-    return repeatable && bufferedBody && isFresh ? inlineBytes(bufferedBody) : undefined;
+    const isRecent = now - this.peer.lastReceivedAt < RECENT_CONTACT_MS;
+    return repeatable && bufferedBody && isRecent ? inlineBytes(bufferedBody) : undefined;
   }
 
   private onMessage(message: PeerMessage): void {
-    this.patience.noteReceived();
+    this.livenessTimer.noteReceived();
     switch (message.kind) {
       case MessageKind.Queued:
         this.stage = this.stage === Stage.Offered ? Stage.Queued : this.stage;
         return;
       case MessageKind.Admitted:
-        void this.commit();
+        void this.sendAdmittedBody();
         return;
       case MessageKind.Overdue:
         this.task.onProgress('silent');
@@ -125,9 +126,9 @@
     }
   }
 
-  /** The owner has admitted the task: from the end of the body on, it may run. */
-  private async commit(): Promise<void> {
-    this.owesBody = true;
+  /** Sends the body of an admitted task. From then on the owner may run the task. */
+  private async sendAdmittedBody(): Promise<void> {
+    this.isBodyPending = true;
     try {
       const body = await this.task.loadBody();
       if (this.settled) {
@@ -136,7 +137,7 @@
       this.stage = Stage.Committed;
       this.task.onProgress('admitted');
       await this.connection.sendBody(body);
-      this.owesBody = false;
+      this.isBodyPending = false;
     } catch {
       this.connection.destroy();
     }
@@ -145,17 +146,17 @@
   private onAnswer(message: AnswerMessage): void {
     this.context.onReport(message.report);
     if (message.body) {
-      this.settle(answerOf(message, { kind: 'bytes', bytes: message.body }));
+      this.settle(createAnswer(message, { kind: 'bytes', bytes: message.body }));
       this.release();
       return;
     }
-    const receiver = createBodyReceiver(this.connection, MAX_HELD_ANSWER_BYTES, () =>
+    const receiver = createBodyReceiver(this.connection, MAX_BUFFERED_ANSWER_BYTES, () =>
       this.connection.destroy(),
     );
     this.answer = { message, receiver };
     receiver.body.then(
-      (body) => this.settle(answerOf(message, body)),
-      () => this.settle(LOST),
+      (body) => this.settle(createAnswer(message, body)),
+      () => this.settle(PEER_LOST),
     );
   }
 
@@ -176,10 +177,10 @@
       return;
     }
     this.context.onFailure('unreachable');
-    this.settle(this.mayHaveRun ? LOST : createRejection('peer-unreachable'));
+    this.settle(this.mayHaveRun ? PEER_LOST : createRejection('peer-unreachable'));
   }
 
-  /** Nothing reaches an owner before the connection stands. */
+  /** True if the body may have reached the owner. Nothing does before the socket has connected. */
   private get mayHaveRun(): boolean {
     return this.stage === Stage.Committed && this.connection.wasEstablished;
   }
@@ -199,13 +200,15 @@
   }
 
   /**
-   * A task that the owner may run is not given up: silence is no proof that the owner is gone, its
-   * link may be full. Who sent the task is told, and may ask another owner meanwhile.
+   * Handles an offer or a ping that has timed out. A task that the owner may have run is not given
+   * up, because the owner may be up and its link congested. The exchange then only reports the
+   * stage `silent`, and the ingress may try another owner at the same time.
    */
   private onTimeout(isPeerActive: boolean): void {
     if (!isPeerActive) {
       this.context.onFailure('silent');
-      // Connections may go silent for good while new ones work: those that are kept are as old.
+      // Old connections can stop carrying data for good while new ones work. The idle connections
+      // are as old as this one, so they are closed.
       this.peer.pool.closeIdle();
     }
     if (this.mayHaveRun) {
@@ -216,9 +219,12 @@
     this.connection.destroy();
   }
 
-  /** The exchange has ended on both sides; one whose body is still on its way has not. */
+  /**
+   * Returns the connection to the pool after the owner's last message. Destroys it if the request
+   * body is still being sent, because the exchange has then not ended on both sides.
+   */
   private release(): void {
-    if (this.owesBody) {
+    if (this.isBodyPending) {
       this.connection.destroy();
     } else {
       this.peer.pool.release(this.connection);
@@ -228,15 +234,15 @@
   private settle(outcome: OwnerOutcome): void {
     if (!this.settled) {
       this.settled = true;
-      this.patience.stop();
-      this.forget();
+      this.livenessTimer.stop();
+      this.unsubscribe();
       this.resolve(outcome);
     }
   }
 }
 
-const LOST: OwnerUnknown = { kind: 'unknown', reason: 'peer-lost' };
+const PEER_LOST: OwnerUnknown = { kind: 'unknown', reason: 'peer-lost' };
 
-function answerOf({ status, headers }: AnswerMessage, body: MessageBody): OwnerOutcome {
+function createAnswer({ status, headers }: AnswerMessage, body: MessageBody): OwnerOutcome {
   return { kind: 'answer', status, headers, body };
 }
--- a/src/peer/reportCodec.ts
+++ b/src/peer/reportCodec.ts
@@ -1,4 +1,4 @@
-/** How a node's report of itself travels: as a list, in a fixed order. */
+/** Encodes and decodes a node's report as a list in a fixed order. */
 import {
   isNonNegativeInteger,
   isNonNegativeNumber,
@@ -6,10 +6,10 @@
 } from '../codec/numberGuards.js';
 import type { PeerReport } from './peerMessages.js';
 
-/** A report tells shares and slowness in whole parts of a hundred. */
+/** Shares and slowness are sent as whole percentages. */
 const PERCENT = 100;
 
-/** Renders a report as a list. */
+/** Encodes a report as a list. */
 export function encodeReport(report: PeerReport): unknown[] {
   return [
     report.service,
@@ -27,7 +27,7 @@
   ];
 }
 
-/** Reads a list; undefined when it holds no report. */
+/** Decodes a list. Undefined if it is not a valid report. */
 export function decodeReport(value: unknown): PeerReport | undefined {
   if (!Array.isArray(value)) {
     return undefined;
@@ -40,10 +40,10 @@
     slots,
     meanServiceMs,
     version,
-    failed,
+    failurePercent,
     backEndVersion,
     bornAt,
-    slowness,
+    slownessPercent,
     waiting,
   ] = value as unknown[];
   const counts = [inFlight, queued, slots, version];
@@ -58,10 +58,10 @@
     slots: slots as number,
     meanServiceMs: nonNegativeNumberOr(meanServiceMs, undefined),
     version: version as number,
-    failureShare: nonNegativeNumberOr(failed, 0) / PERCENT,
+    failureShare: nonNegativeNumberOr(failurePercent, 0) / PERCENT,
     backEndVersion: typeof backEndVersion === 'string' ? backEndVersion : undefined,
     bornAt: isNonNegativeInteger(bornAt) ? bornAt : undefined,
-    slowness: (nonNegativeNumberOr(slowness, PERCENT) || PERCENT) / PERCENT,
+    slowness: (nonNegativeNumberOr(slownessPercent, PERCENT) || PERCENT) / PERCENT,
     waiting: nonNegativeNumberOr(waiting, 0),
   };
 }
--- a/src/peer/taskCodec.ts
+++ b/src/peer/taskCodec.ts
@@ -1,9 +1,9 @@
-/** How the fields of a task travel between nodes: as a list, in a fixed order. */
+/** Encodes and decodes the fields of a task as a list in a fixed order. */
 import { isNonNegativeNumber } from '../codec/numberGuards.js';
 import { NO_FINGERPRINT } from '../quarantine/fingerprint.js';
 import type { TaskFields } from './peerMessages.js';
 
-/** Renders the fields as a list. */
+/** Encodes the fields as a list. */
 export function encodeTask(task: TaskFields): unknown[] {
   return [
     task.service,
@@ -21,7 +21,7 @@
   ];
 }
 
-/** Reads a list; undefined when it holds no task. */
+/** Decodes a list. Undefined if it does not hold the fields of a task. */
 export function decodeTask(value: unknown): TaskFields | undefined {
   if (!Array.isArray(value)) {
     return undefined;
@@ -29,37 +29,41 @@
   const [
     service,
     route,
-    caller,
+    callerService,
     priority,
     repeatable,
     hasBody,
-    remaining,
-    target,
-    id,
+    remainingMs,
+    targetMs,
+    requestId,
     mayWait,
     fingerprint,
     tenant,
   ] = value as unknown[];
-  if (typeof service !== 'string' || typeof id !== 'string') {
+  if (typeof service !== 'string' || typeof requestId !== 'string') {
     return undefined;
   }
-  if (typeof route !== 'string' || typeof caller !== 'string' || !isNonNegativeNumber(priority)) {
+  if (
+    typeof route !== 'string' ||
+    typeof callerService !== 'string' ||
+    !isNonNegativeNumber(priority)
+  ) {
     return undefined;
   }
-  // Both are negative once their times are over.
-  if (!Number.isFinite(remaining) || !Number.isFinite(target)) {
+  // Either is negative once its time has passed.
+  if (!Number.isFinite(remainingMs) || !Number.isFinite(targetMs)) {
     return undefined;
   }
   return {
     service,
     route,
-    callerService: caller,
+    callerService,
     priority,
     repeatable: repeatable === true,
     hasBody: hasBody === true,
-    remainingMs: remaining as number,
-    targetMs: target as number,
-    requestId: id,
+    remainingMs: remainingMs as number,
+    targetMs: targetMs as number,
+    requestId,
     mayWait: mayWait === true,
     tenant: typeof tenant === 'string' ? tenant : undefined,
     fingerprint: typeof fingerprint === 'string' ? fingerprint : NO_FINGERPRINT,
