--- a/src/peer/bodyReceiver.test.ts
+++ b/src/peer/bodyReceiver.test.ts
@@ -42,7 +42,7 @@
     expect(state.isPaused).toBe(false);
   });
 
-  it('resumes the connection once the body has arrived and leaves its pause state alone after', async () => {
+  it('resumes the connection when the body is complete and never touches it again', async () => {
     const { state, connection } = pausableConnection();
     const receiver = createBodyReceiver(connection, CHUNK_BYTES);
     for (let index = 0; index < 4; index += 1) {
--- a/src/peer/peerMessages.test.ts
+++ b/src/peer/peerMessages.test.ts
@@ -64,9 +64,9 @@
   isLast: fc.boolean(),
 });
 
-const keys = fc.array(fc.record({ fingerprint: fc.string(), caller: fc.string() }));
+const requestKeys = fc.array(fc.record({ fingerprint: fc.string(), caller: fc.string() }));
 
-const news = fc.record({
+const announcement = fc.record({
   kind: fc.constant(MessageKind.News as const),
   sender: fc.record({ address: fc.string(), version: fc.nat() }),
   topic: fc.constantFrom(
@@ -77,15 +77,15 @@
   content: fc
     .record({
       incarnation: fc.option(fc.string(), { nil: undefined }),
-      suspects: keys,
-      quarantined: keys,
-      cleared: keys,
+      suspects: requestKeys,
+      quarantined: requestKeys,
+      cleared: requestKeys,
     })
     .map(encodeCrashAnnouncement),
   shouldForward: fc.boolean(),
 });
 
-const quotaAsk = fc.record({
+const quotaRequest = fc.record({
   kind: fc.constant(MessageKind.QuotaAsk as const),
   sender: fc.record({ address: fc.string(), version: fc.nat() }),
   tenant: fc.string(),
@@ -98,13 +98,13 @@
   dryMs: fc.nat(),
 });
 
-const lost = fc.record({
+const outcomeUnknown = fc.record({
   kind: fc.constant(MessageKind.Lost as const),
   outcome: fc.constant({ kind: 'unknown', reason: 'connection-lost' } as const),
   report,
 });
 
-const turnedAway = fc.record({
+const rejection = fc.record({
   kind: fc.constant(MessageKind.TurnedAway as const),
   outcome: fc.record({
     kind: fc.constant('not-run' as const),
@@ -116,31 +116,38 @@
 });
 
 const messages: fc.Arbitrary<PeerMessage> = fc.oneof(
-  lost,
-  turnedAway,
+  outcomeUnknown,
+  rejection,
   offer,
   answer,
   chunk,
-  news,
-  quotaAsk,
+  announcement,
+  quotaRequest,
   quotaGranted,
 );
 
-/** A message as it comes off the wire. */
-function received(sent: PeerMessage): unknown {
+/** Encodes a message and returns the frame value that the receiver reads. */
+function frameValueOf(sent: PeerMessage): unknown {
   return new FrameReader().read(encodeMessage(sent))?.[0];
 }
 
-/** Puts something else in one place, found by an index on each level. */
-function spoil(value: unknown, [index = 0, ...deeper]: readonly number[], odd: unknown): unknown {
+/** Replaces one item of nested lists; the path has an index for each level. */
+function replaceAt(
+  value: unknown,
+  [index = 0, ...deeper]: readonly number[],
+  replacement: unknown,
+): unknown {
   if (!Array.isArray(value) || value.length === 0) {
-    return odd;
+    return replacement;
   }
   const at = index % value.length;
-  return value.with(at, deeper.length > 0 ? spoil(value[at], deeper, odd) : odd);
+  return value.with(
+    at,
+    deeper.length > 0 ? replaceAt(value[at], deeper, replacement) : replacement,
+  );
 }
 
-/** Figures that decisions rest on. */
+/** The numbers of a message that decisions depend on. */
 function amountsOf(message: PeerMessage): (number | undefined)[] {
   switch (message.kind) {
     case MessageKind.QuotaAsk:
@@ -160,9 +167,9 @@
   }
 }
 
-function amountsOfReport(told: PeerReport): (number | undefined)[] {
-  const { inFlight, queued, slots, meanServiceMs, version } = told;
-  const { failureShare, bornAt, slowness, waiting } = told;
+function amountsOfReport(peerReport: PeerReport): (number | undefined)[] {
+  const { inFlight, queued, slots, meanServiceMs, version } = peerReport;
+  const { failureShare, bornAt, slowness, waiting } = peerReport;
   return [inFlight, queued, slots, meanServiceMs, version, failureShare, bornAt, slowness, waiting];
 }
 
@@ -171,7 +178,7 @@
 }
 
 describe('messages between nodes', () => {
-  it('come out as they went in, cut anywhere', () => {
+  it('decode to what was encoded, wherever the bytes are split', () => {
     fc.assert(
       fc.property(fc.array(messages, { maxLength: 4 }), fc.nat(), (sent, seed) => {
         const whole = Buffer.concat(sent.map(encodeMessage));
@@ -186,33 +193,33 @@
     );
   });
 
-  it('are read or not, whatever one part of them is', () => {
-    const oddities = fc.oneof(
+  it('decode to valid numbers or to undefined when one part is replaced by any value', () => {
+    const replacements = fc.oneof(
       fc.anything(),
       fc.constantFrom({ toString: 1, valueOf: 1 }, Number.NaN, Infinity, -1, null, [], {}),
     );
-    const places = fc.array(fc.nat(), { minLength: 1, maxLength: 3 });
+    const paths = fc.array(fc.nat(), { minLength: 1, maxLength: 3 });
     fc.assert(
-      fc.property(messages, places, oddities, (sent, path, odd) => {
-        const value = spoil(received(sent), path, odd);
-        const read = decodeMessage(value);
-        expect(read === undefined || amountsOf(read).every(isAmount)).toBe(true);
+      fc.property(messages, paths, replacements, (sent, path, replacement) => {
+        const value = replaceAt(frameValueOf(sent), path, replacement);
+        const decoded = decodeMessage(value);
+        expect(decoded === undefined || amountsOf(decoded).every(isAmount)).toBe(true);
       }),
       { seed: 14, numRuns: 3_000 },
     );
   });
 
-  it('are nothing when they are something else', () => {
+  it('decode to undefined from other values, and without an error from short lists', () => {
     fc.assert(
       fc.property(fc.anything(), (value) => {
         expect(decodeMessage(value)).toBeUndefined();
       }),
       { seed: 12, numRuns: 500 },
     );
-    const short = Object.values(MessageKind).flatMap((kind) =>
+    const shortLists = Object.values(MessageKind).flatMap((kind) =>
       typeof kind === 'number' ? [[kind, null, 7]] : [],
     );
-    for (const value of short) {
+    for (const value of shortLists) {
       expect(() => decodeMessage(value)).not.toThrow();
     }
   });
--- a/src/peer/peerServer.test.ts
+++ b/src/peer/peerServer.test.ts
@@ -14,8 +14,8 @@
   server?.close();
 });
 
-/** A node whose owner does as it is told, and the way to it. */
-async function ownerThat(run: (task: OwnerTask) => Promise<OwnerOutcome>): Promise<RemoteOwner> {
+/** Starts a node whose owner runs tasks with `run`; returns the client side of that owner. */
+async function startOwner(run: (task: OwnerTask) => Promise<OwnerOutcome>): Promise<RemoteOwner> {
   server = new PeerServer({
     clock: monotonicClock,
     owner: { run },
@@ -57,18 +57,18 @@
   return { kind: 'answer', status: 200, headers: [], body };
 }
 
-describe('a task between two nodes', () => {
-  it('brings a long body and a long answer whole', async () => {
-    const long = 'y'.repeat(3 * MEGABYTE);
-    const owner = await ownerThat(async (task) => {
+describe('PeerServer', () => {
+  it('transfers a long request body and a long answer completely', async () => {
+    const longText = 'y'.repeat(3 * MEGABYTE);
+    const owner = await startOwner(async (task) => {
       const body = await task.loadBody();
-      const sizes = body.kind === 'stream' ? 'streamed' : 'held';
+      const transfer = body.kind === 'stream' ? 'streamed' : 'buffered';
       if (body.kind === 'stream') {
         for await (const _chunk of body.rest) {
-          // Read to its end.
+          // Reads the body to its end.
         }
       }
-      return answerWith(`${sizes}${long}`);
+      return answerWith(`${transfer}${longText}`);
     });
     const outcome = await owner.run(uploadOf(3 * MEGABYTE));
     if (outcome.kind !== 'answer' || outcome.body.kind !== 'stream') {
@@ -78,11 +78,11 @@
     for await (const chunk of outcome.body.rest) {
       chunks.push(chunk as Buffer);
     }
-    expect(Buffer.concat(chunks).toString()).toBe(`streamed${long}`);
+    expect(Buffer.concat(chunks).toString()).toBe(`streamed${longText}`);
   });
 
-  it('does not hold the next task up when an owner leaves a long body unread', async () => {
-    const owner = await ownerThat(async (task) => {
+  it('runs the next task when the owner has not read the long body of the last one', async () => {
+    const owner = await startOwner(async (task) => {
       const body = await task.loadBody();
       return answerWith(body.kind);
     });
--- a/src/peer/pooledPeerClient.test.ts
+++ b/src/peer/pooledPeerClient.test.ts
@@ -5,28 +5,28 @@
 import { MessageKind } from './peerMessages.js';
 import { createPooledPeerClient, type PooledPeerClient } from './pooledPeerClient.js';
 
-const QUESTION = { kind: 'nodes', revision: 1, waitMs: 0 };
+const QUERY = { kind: 'nodes', revision: 1, waitMs: 0 };
 const TIMEOUT_MS = 200;
 
 const servers: net.Server[] = [];
-let reads: PooledPeerClient;
+let client: PooledPeerClient;
 let connections: OpenConnections;
 
 afterEach(() => {
-  reads.closeIdle();
+  client.closeIdle();
   connections.stop();
   for (const server of servers.splice(0)) {
     server.close();
   }
 });
 
-/** A node that answers each read at once. */
+/** Starts a node that answers each read at once and returns its address. */
 async function startNode(): Promise<string> {
   const server = net.createServer((socket) => {
     const connection = createPeerConnection(socket);
     connection.setListener({
       onMessage: () =>
-        connection.send({ kind: MessageKind.ReadResult, bytes: Buffer.from('told') }),
+        connection.send({ kind: MessageKind.ReadResult, bytes: Buffer.from('result') }),
       onClose: () => {},
     });
   });
@@ -35,16 +35,16 @@
   return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-it('one read that is met with silence costs no other read a connection that rested meanwhile', async () => {
+it('replaces the idle connections to all nodes once one read has timed out', async () => {
   connections = trackOpenConnections();
-  reads = createPooledPeerClient(() => ({ address: '127.0.0.1:1', version: 1 }));
+  client = createPooledPeerClient(() => ({ address: '127.0.0.1:1', version: 1 }));
   const [first, second] = await Promise.all([startNode(), startNode()]);
   const readAll = (address: string) =>
-    Promise.all([1, 2, 3].map(() => reads.read(address, QUESTION, TIMEOUT_MS)));
+    Promise.all([1, 2, 3].map(() => client.read(address, QUERY, TIMEOUT_MS)));
   await readAll(first);
   await readAll(second);
   expect(connections.silence(() => true)).toBe(6);
-  expect(await reads.read(first, QUESTION, TIMEOUT_MS)).toBeUndefined();
-  expect((await reads.read(first, QUESTION, TIMEOUT_MS))?.toString()).toBe('told');
-  expect((await reads.read(second, QUESTION, TIMEOUT_MS))?.toString()).toBe('told');
+  expect(await client.read(first, QUERY, TIMEOUT_MS)).toBeUndefined();
+  expect((await client.read(first, QUERY, TIMEOUT_MS))?.toString()).toBe('result');
+  expect((await client.read(second, QUERY, TIMEOUT_MS))?.toString()).toBe('result');
 });
--- a/src/peer/remoteOwner.test.ts
+++ b/src/peer/remoteOwner.test.ts
@@ -8,7 +8,7 @@
 import { MessageKind, type PeerMessage } from './peerMessages.js';
 import { RemoteOwner } from './remoteOwner.js';
 
-/** Longer than a silent owner is waited for and asked again, in milliseconds. */
+/** Longer than the timeouts of an offer and of a ping together, in milliseconds. */
 const LONG_MS = 1_200;
 
 const ANSWER: PeerMessage = {
@@ -29,10 +29,10 @@
   }
 });
 
-type Reply = (message: PeerMessage, connection: PeerConnection) => void;
+type MessageHandler = (message: PeerMessage, connection: PeerConnection) => void;
 
-/** A node that answers as it is told to. */
-async function peer(reply: Reply) {
+/** Starts a node that handles each message with `handle`, and a `RemoteOwner` for it. */
+async function startPeer(handle: MessageHandler) {
   const received: PeerMessage[] = [];
   const failures: string[] = [];
   let connections = 0;
@@ -43,7 +43,7 @@
     connection.setListener({
       onMessage: (message) => {
         received.push(message);
-        reply(message, connection);
+        handle(message, connection);
       },
       onClose: () => {},
     });
@@ -65,8 +65,8 @@
   return ownerTask({ repeatable, deadlineAt: now + 5_000, targetAt: now + 1_000 });
 }
 
-/** Admits what is only offered, and answers what is whole. */
-const serve: Reply = (message, connection) => {
+/** Admits an offer without a body; answers an offer with a body and a chunk. */
+const serve: MessageHandler = (message, connection) => {
   if (message.kind === MessageKind.Offer && !message.body) {
     connection.send({ kind: MessageKind.Admitted });
   } else if (message.kind === MessageKind.Offer || message.kind === MessageKind.Chunk) {
@@ -76,12 +76,12 @@
 
 describe('RemoteOwner', () => {
   it.each([true, false])(
-    'has certainly not run a task at an owner that stays silent (repeatable: %s)',
+    'reports a task as not run if the owner does not respond to the offer (repeatable: %s)',
     async (repeatable) => {
-      const { owner, received, failures } = await peer(() => {});
+      const { owner, received, failures } = await startPeer(() => {});
       const outcome = await owner.run(task(repeatable));
       expect(outcome).toEqual({ kind: 'not-run', reason: 'peer-silent', arrived: false });
-      // The head alone has arrived: without its body the owner cannot have run the task.
+      // Only the head has arrived; without the body the owner cannot have run the task.
       expect(received).toMatchObject([{ kind: MessageKind.Offer, method: 'GET', target: '/' }]);
       expect(received.flatMap((message) => ('body' in message ? [message.body] : []))).toEqual([
         undefined,
@@ -90,8 +90,8 @@
     },
   );
 
-  it('sends a task that may be repeated whole to an owner it has just heard of, any other never', async () => {
-    const { owner, received, connections } = await peer(serve);
+  it('offers a task with its body only if it is repeatable and contact is recent', async () => {
+    const { owner, received, connections } = await startPeer(serve);
     for (const repeatable of [true, true, false]) {
       expect(await owner.run(task(repeatable))).toMatchObject({ kind: 'answer', status: 200 });
     }
@@ -102,8 +102,8 @@
     expect(connections()).toBe(1);
   });
 
-  it('does not know the fate of a task that was admitted and then lost', async () => {
-    const { owner } = await peer((message, connection) => {
+  it('reports an unknown outcome if the connection is lost after the admission', async () => {
+    const { owner } = await startPeer((message, connection) => {
       if (message.kind === MessageKind.Offer) {
         connection.send({ kind: MessageKind.Admitted });
       } else {
@@ -113,8 +113,8 @@
     expect(await owner.run(task(true))).toEqual({ kind: 'unknown', reason: 'peer-lost' });
   });
 
-  it('waits for an owner that has queued the task', async () => {
-    const { owner } = await peer((_message, connection) => {
+  it('waits beyond the timeouts for an owner that has queued the task', async () => {
+    const { owner } = await startPeer((_message, connection) => {
       connection.send({ kind: MessageKind.Queued });
       setTimeout(() => {
         connection.send({
@@ -132,9 +132,9 @@
     });
   });
 
-  it('asks an owner that takes long whether it is there, and waits on while it is', async () => {
+  it('pings a slow owner and keeps waiting while it answers the pings', async () => {
     let isFirst = true;
-    const { owner, kinds } = await peer((message, connection) => {
+    const { owner, kinds } = await startPeer((message, connection) => {
       if (message.kind === MessageKind.Ping) {
         connection.send({ kind: MessageKind.Pong });
       } else if (isFirst) {
@@ -150,12 +150,12 @@
     expect(kinds()).toContain(MessageKind.Ping);
   });
 
-  it('tells early that the owner of a repeatable task is silent, and takes its late answer', async () => {
-    let heldFor: PeerConnection | undefined;
+  it('reports a repeatable task as `silent` early and accepts the late answer', async () => {
+    let silentConnection: PeerConnection | undefined;
     let isSilent = false;
-    const { owner, failures } = await peer((message, connection) => {
+    const { owner, failures } = await startPeer((message, connection) => {
       if (isSilent) {
-        heldFor = connection;
+        silentConnection = connection;
       } else {
         serve(message, connection);
       }
@@ -170,13 +170,13 @@
     });
     expect(monotonicClock.now() - startedAt).toBeLessThan(LONG_MS);
     expect(failures).toEqual(['silent']);
-    heldFor?.send(ANSWER);
+    silentConnection?.send(ANSWER);
     expect(await outcome).toMatchObject({ kind: 'answer', status: 200 });
   });
 
-  it('gives a task up at a silent owner when nobody waits for it any longer', async () => {
+  it('ends a task at a silent owner with an unknown outcome when it is cancelled', async () => {
     let isSilent = false;
-    const { owner } = await peer((message, connection) => {
+    const { owner } = await startPeer((message, connection) => {
       if (!isSilent) {
         serve(message, connection);
       }
@@ -189,19 +189,19 @@
     expect(outcome).toEqual({ kind: 'unknown', reason: 'cancelled' });
   });
 
-  it('gives up the connections it has kept when one of them was silent', async () => {
-    const silent = new Set<PeerConnection>();
-    const { owner, connections } = await peer((message, connection) => {
-      if (!silent.has(connection)) {
+  it('closes the idle connections when an exchange on one of them has timed out', async () => {
+    const silentConnections = new Set<PeerConnection>();
+    const { owner, connections } = await startPeer((message, connection) => {
+      if (!silentConnections.has(connection)) {
         serve(message, connection);
-        known.add(connection);
+        usedConnections.add(connection);
       }
     });
-    const known = new Set<PeerConnection>();
+    const usedConnections = new Set<PeerConnection>();
     await Promise.all([owner.run(task(false)), owner.run(task(false)), owner.run(task(false))]);
     expect(connections()).toBe(3);
-    for (const connection of known) {
-      silent.add(connection);
+    for (const connection of usedConnections) {
+      silentConnections.add(connection);
     }
     const first = await owner.run(task(false));
     expect(first).toMatchObject({ kind: 'not-run', reason: 'peer-silent' });
@@ -209,8 +209,8 @@
     expect(connections()).toBe(4);
   });
 
-  it('has not run what was for a node that nothing listens at', async () => {
-    const { owner } = await peer(serve);
+  it('reports a task as not run if the node refuses connections', async () => {
+    const { owner } = await startPeer(serve);
     await owner.run(task(true));
     server?.close();
     for (const socket of sockets.splice(0)) {
