--- a/src/peer/bodyReceiver.ts
+++ b/src/peer/bodyReceiver.ts
@@ -32,7 +32,7 @@
 ): BodyReceiver {
   const buffered: Buffer[] = [];
   let size = 0;
-  let stream: Readable | undefined;
+  let rest: Readable | undefined;
   let isComplete = false;
   let resolve: (body: MessageBody) => void = () => {};
   let reject: (error: Error) => void = () => {};
@@ -43,21 +43,21 @@
   // Prevents an unhandled rejection if nothing awaits the body.
   body.catch(() => {});
   const startStream = () => {
-    stream = new Readable({
+    rest = new Readable({
       read: () => {
         if (!isComplete) {
           connection.setPaused(false);
         }
       },
     });
-    stream.on('error', () => {});
-    stream.on('close', () => {
+    rest.on('error', () => {});
+    rest.on('close', () => {
       if (!isComplete) {
         connection.setPaused(false);
         onAbandoned();
       }
     });
-    resolve({ kind: 'stream', head: buffered, rest: stream });
+    resolve({ kind: 'stream', head: buffered, rest });
   };
   return {
     body,
@@ -66,9 +66,9 @@
     },
     onChunk: ({ bytes, isLast }) => {
       size += bytes.length;
-      if (!stream) {
+      if (!rest) {
         buffered.push(bytes);
-      } else if (bytes.length > 0 && !stream.destroyed && !stream.push(bytes)) {
+      } else if (bytes.length > 0 && !rest.destroyed && !rest.push(bytes)) {
         connection.setPaused(true);
       }
       isComplete = isLast;
@@ -76,19 +76,19 @@
         // The next exchange uses the connection even while this body is still being read.
         connection.setPaused(false);
       }
-      if (isLast && stream) {
-        stream.push(null);
+      if (isLast && rest) {
+        rest.push(null);
       } else if (isLast) {
         resolve(concatBody(buffered, size));
-      } else if (!stream && size > limitBytes) {
+      } else if (!rest && size > limitBytes) {
         startStream();
       }
     },
-    discard: () => stream?.destroy(),
+    discard: () => rest?.destroy(),
     abort: () => {
       if (!isComplete) {
         const error = new Error('connection closed before the end of the message body');
-        stream?.destroy(error);
+        rest?.destroy(error);
         reject(error);
       }
     },
--- a/src/peer/peerCodec.ts
+++ b/src/peer/peerCodec.ts
@@ -136,9 +136,9 @@
 function decodeOffer([encodedSender, encodedTask, method, target, headers, body]: unknown[]):
   | OfferMessage
   | undefined {
-  const sender = decodeSender(encodedSender);
-  const task = decodeTask(encodedTask);
-  if (!sender || !task || typeof method !== 'string' || typeof target !== 'string') {
+  const peerSender = decodeSender(encodedSender);
+  const taskFields = decodeTask(encodedTask);
+  if (!peerSender || !taskFields || typeof method !== 'string' || typeof target !== 'string') {
     return undefined;
   }
   if (!isStringArray(headers)) {
@@ -146,8 +146,8 @@
   }
   return {
     kind: MessageKind.Offer,
-    sender,
-    task,
+    sender: peerSender,
+    task: taskFields,
     method,
     target,
     headers,
@@ -158,25 +158,30 @@
 function decodeQuery([question, encodedSender, encodedReport]: unknown[]):
   | QueryMessage
   | undefined {
-  const sender = decodeSender(encodedSender);
-  const report = decodeReport(encodedReport);
+  const peerSender = decodeSender(encodedSender);
+  const peerReport = decodeReport(encodedReport);
   const isKnown = Object.values(PeerQuery).includes(question as PeerQuery);
-  return sender && report && isKnown
-    ? { kind: MessageKind.Ask, question: question as PeerQuery, sender, report }
+  return peerSender && peerReport && isKnown
+    ? {
+        kind: MessageKind.Ask,
+        question: question as PeerQuery,
+        sender: peerSender,
+        report: peerReport,
+      }
     : undefined;
 }
 
-function decodeAnnouncement([encodedSender, topic, content, shouldForward]: unknown[]):
+function decodeAnnouncement([encodedSender, topic, topicContent, shouldForward]: unknown[]):
   | AnnouncementMessage
   | undefined {
-  const sender = decodeSender(encodedSender);
+  const peerSender = decodeSender(encodedSender);
   const isKnown = Object.values(AnnouncementTopic).includes(topic as AnnouncementTopic);
-  return sender && isKnown
+  return peerSender && isKnown
     ? {
         kind: MessageKind.News,
-        sender,
+        sender: peerSender,
         topic: topic as AnnouncementTopic,
-        content,
+        content: topicContent,
         shouldForward: shouldForward === true,
       }
     : undefined;
@@ -185,8 +190,8 @@
 function decodeRead([encodedSender, kind, revision, waitMs, base]: unknown[]):
   | ReadMessage
   | undefined {
-  const sender = decodeSender(encodedSender);
-  if (!sender || typeof kind !== 'string' || typeof waitMs !== 'number') {
+  const peerSender = decodeSender(encodedSender);
+  if (!peerSender || typeof kind !== 'string' || typeof waitMs !== 'number') {
     return undefined;
   }
   const question = {
@@ -195,15 +200,15 @@
     waitMs,
     base: numberOrUndefined(base),
   };
-  return { kind: MessageKind.Read, sender, question };
+  return { kind: MessageKind.Read, sender: peerSender, question };
 }
 
 function decodeQuotaRequest([encodedSender, tenant, wanted]: unknown[]):
   | QuotaRequestMessage
   | undefined {
-  const sender = decodeSender(encodedSender);
-  return sender && typeof tenant === 'string' && isNonNegativeInteger(wanted)
-    ? { kind: MessageKind.QuotaAsk, sender, tenant, wanted }
+  const peerSender = decodeSender(encodedSender);
+  return peerSender && typeof tenant === 'string' && isNonNegativeInteger(wanted)
+    ? { kind: MessageKind.QuotaAsk, sender: peerSender, tenant, wanted }
     : undefined;
 }
 
--- a/src/peer/taskCodec.ts
+++ b/src/peer/taskCodec.ts
@@ -29,25 +29,21 @@
   const [
     service,
     route,
-    callerService,
+    caller,
     priority,
     repeatable,
     hasBody,
     remainingMs,
     targetMs,
-    requestId,
+    id,
     mayWait,
     fingerprint,
     tenant,
   ] = value as unknown[];
-  if (typeof service !== 'string' || typeof requestId !== 'string') {
+  if (typeof service !== 'string' || typeof id !== 'string') {
     return undefined;
   }
-  if (
-    typeof route !== 'string' ||
-    typeof callerService !== 'string' ||
-    !isNonNegativeNumber(priority)
-  ) {
+  if (typeof route !== 'string' || typeof caller !== 'string' || !isNonNegativeNumber(priority)) {
     return undefined;
   }
   // Either is negative once its time has passed.
@@ -57,13 +53,13 @@
   return {
     service,
     route,
-    callerService,
+    callerService: caller,
     priority,
     repeatable: repeatable === true,
     hasBody: hasBody === true,
     remainingMs: remainingMs as number,
     targetMs: targetMs as number,
-    requestId,
+    requestId: id,
     mayWait: mayWait === true,
     tenant: typeof tenant === 'string' ? tenant : undefined,
     fingerprint: typeof fingerprint === 'string' ? fingerprint : NO_FINGERPRINT,
