--- a/src/owner/admission-control.ts
+++ b/src/owner/admission-control.ts
@@ -1,8 +1,8 @@
 /**
- * Decides at an owner which tasks run, wait or are turned away. The back end
- * never gets more than its slots. A task waits only while it can still be
- * answered within its target latency; the most urgent go first, among equals
- * tenants take turns.
+ * Decides which tasks an owner runs, queues or rejects. The back end never runs more tasks than it
+ * has slots. A task waits only while it can still be answered within its target latency. The queue
+ * is in order of rank (see `rankOf`). Within a rank, tenants that have used more than their share
+ * come last.
  */
 
 import {
@@ -16,61 +16,62 @@
 import { createServiceTimes, type ServiceTimes } from './serviceTimes.js';
 import { createTenantFairness, type TenantFairness, type TenantShare } from './tenantFairness.js';
 
-/** What a task asks for. */
+/** The properties of a task that admission depends on. */
 export interface AdmissionRequest {
   readonly route: string;
-  /** Undefined for calls of back ends and without tenants. */
+  /** Undefined for calls of back ends and if no tenants are configured. */
   readonly tenant?: string | undefined;
   readonly priority: number;
   /** Steady time in milliseconds until which an answer is worth most. */
   readonly targetAt: number;
   readonly deadlineAt: number;
-  /** False if the task is turned away unless a slot is free. */
+  /** False if the task must be rejected unless a slot is free. */
   readonly mayWait: boolean;
-  /** True if nothing else may run beside the task. */
+  /** True if no other task may run at the same time. */
   readonly isExclusive?: boolean;
   /** True if a running back end waits for the answer. */
   readonly isCall?: boolean;
 }
 
-/** What is told of a task that begins. */
+/** The properties of a task that are recorded when it starts. */
 export type StartedTask = Pick<AdmissionRequest, 'tenant' | 'isExclusive' | 'isCall'>;
 
-/** What is told of a task that has ended. */
+/** The properties of a task that are recorded when it has ended. */
 export type AdmittedTask = Pick<AdmissionRequest, 'route' | 'priority' | 'isExclusive' | 'isCall'>;
 
-/** A task that waits. */
+/** A waiting task and its callbacks. */
 export interface Waiter {
   readonly request: AdmissionRequest;
+  /** Steady time in milliseconds at which the task began to wait. */
   readonly since: number;
   /** Called once when the task may run. */
   admit(): void;
-  /** Called once when the task is turned away after all. */
+  /** Called once when the task is rejected after waiting. */
   reject(retryAfterMs: number): void;
 }
 
 /** A task in the queue. */
 interface QueuedTask {
   readonly waiter: Waiter;
-  /** True if it waits behind those of other tenants that are equally urgent. */
+  /** True if the task waits behind other tenants' tasks of the same rank. */
   readonly isOverShare: boolean;
 }
 
-/** The answer to a task's arrival. */
+/** The decision about a task that has arrived. */
 export type AdmissionDecision =
   | { readonly kind: 'run' }
   | { readonly kind: 'wait' }
   | { readonly kind: 'busy'; readonly retryAfterMs: number };
 
-/** Waiting tasks for each slot, at the most. */
+/** Maximum number of waiting tasks per slot. */
 const MAX_WAITING_PER_SLOT = 8;
 
-/** Shortest time, in milliseconds, after which a client is told to come back. */
+/** Minimum time, in milliseconds, after which a rejected task may be offered again. */
 const MIN_RETRY_AFTER_MS = 20;
 
-/** Owned by the local owner; the time is passed in. */
+/** The local owner has one. The current steady time in milliseconds is passed in. */
 export class AdmissionControl {
-  /** In order of rank, then those that are not behind, then of arrival. */
+  /** Ordered by rank, then tenants within their share before those over it, then by arrival. */
   private readonly waiting: QueuedTask[] = [];
   private readonly tenantFairness: TenantFairness;
   private readonly priorityLoad = createPriorityLoad();
@@ -96,7 +97,7 @@
 
   /**
    * Moving average of the time that the back end takes for a task, in
-   * milliseconds; undefined until it has finished one.
+   * milliseconds. Undefined until it has finished one.
    */
   get meanServiceMs(): number | undefined {
     return this.times.meanMs;
@@ -109,27 +110,27 @@
   /** Sets the number of tasks that may run at once. */
   setSlots(slots: number, now: number): void {
     this.slots = slots;
-    this.fill(now);
+    this.startWaiting(now);
   }
 
-  /** Decides about a task; the caller adds a waiter after `wait`. */
+  /** Decides about a task. After `wait`, the caller must enqueue a waiter. */
   decide(request: AdmissionRequest, now: number): AdmissionDecision {
     const [first] = this.waiting;
-    // Equals that wait go first.
+    // Waiting tasks of the same rank go first.
     const isFirst = !first || rankOf(first.waiter.request) > rankOf(request);
     if (isFirst && this.hasRoomFor(request)) {
       return { kind: 'run' };
     }
-    const isBehind = this.tenantFairness.isOverShare(request.tenant, now);
-    const isFull = this.isFull && !this.displacedBy(request, isBehind);
-    const ahead = this.placeOf(request, isBehind);
+    const isOverShare = this.tenantFairness.isOverShare(request.tenant, now);
+    const isFull = this.isFull && !this.displacedBy(request, isOverShare);
+    const ahead = this.positionOf(request, isOverShare);
     if (!request.mayWait || !this.isInTime(request, ahead, now) || isFull) {
       return { kind: 'busy', retryAfterMs: this.retryAfterMs() };
     }
     return { kind: 'wait' };
   }
 
-  /** A task begins to run. */
+  /** Records that a task has started. */
   noteStarted({ tenant, isExclusive = false, isCall = false }: StartedTask, now: number): void {
     this.running += 1;
     this.callScheduler.noteStarted({ isCall });
@@ -138,8 +139,8 @@
   }
 
   /**
-   * A task has ended; `serviceMs` is undefined when its time says nothing of the back end, and `slowness`
-   * is what the back end told meanwhile.
+   * Records that a task has ended. `serviceMs` is undefined if the time does not measure the back
+   * end. `slowness` is the slowness that the back end reported while the task ran.
    */
   noteFinished(task: AdmittedTask, serviceMs: number | undefined, now: number, slowness = 1): void {
     const { route } = task;
@@ -150,23 +151,23 @@
       this.priorityLoad.note(rankOf(task), serviceMs);
       this.times.note(route, serviceMs, slowness);
     }
-    this.fill(now);
+    this.startWaiting(now);
   }
 
-  /** Adds a task after `wait`; another tenant's task may have to give up its place for it. */
+  /** Adds a task after `wait`. It may displace a task of a tenant that is over its share. */
   enqueue(waiter: Waiter): void {
     const { tenant } = waiter.request;
     const isOverShare = this.tenantFairness.isOverShare(tenant, waiter.since);
     const displaced = this.displacedBy(waiter.request, isOverShare);
     const wasFull = this.isFull;
-    this.waiting.splice(this.placeOf(waiter.request, isOverShare), 0, { waiter, isOverShare });
+    this.waiting.splice(this.positionOf(waiter.request, isOverShare), 0, { waiter, isOverShare });
     if (displaced && (wasFull || !this.isStillInTime(displaced, waiter.since))) {
       this.remove(displaced);
       displaced.reject(this.retryAfterMs());
     }
   }
 
-  /** Takes back a task that no longer wants to run. */
+  /** Removes a task from the queue, for example a cancelled one. */
   remove(waiter: Waiter): void {
     const index = this.waiting.findIndex((queued) => queued.waiter === waiter);
     if (index >= 0) {
@@ -174,19 +175,19 @@
     }
   }
 
-  /** Turns away every task that waits. */
+  /** Rejects every waiting task. */
   rejectAllWaiting(): void {
     for (const { waiter } of this.waiting.splice(0)) {
       waiter.reject(MIN_RETRY_AFTER_MS);
     }
   }
 
-  /** Milliseconds after which there is likely to be room. */
+  /** Milliseconds after which a slot is expected to be free. */
   retryAfterMs(): number {
     return Math.max(MIN_RETRY_AFTER_MS, drainMs(requestsOf(this.waiting), this.context));
   }
 
-  private turnContext(now: number): SchedulingContext {
+  private schedulingContext(now: number): SchedulingContext {
     const latestStartAt: SchedulingContext['latestStartAt'] = (request) =>
       this.latestStartAt(request);
     return { slots: this.slots, now, latestStartAt };
@@ -197,12 +198,12 @@
     return this.running < limit && !this.isRunningExclusive;
   }
 
-  /** A task that runs alone holds up those behind it until the back end has nothing else to do. */
-  private fill(now: number): void {
+  /** Starts waiting tasks. An exclusive task blocks those behind it until the back end is idle. */
+  private startWaiting(now: number): void {
     for (;;) {
       const next = this.callScheduler.next(
         this.waiting.map(({ waiter }) => waiter),
-        this.turnContext(now),
+        this.schedulingContext(now),
       );
       if (!next || !this.hasRoomFor(next.request)) {
         return;
@@ -220,10 +221,13 @@
     return this.waiting.length >= this.slots * MAX_WAITING_PER_SLOT;
   }
 
-  /** The task that this one may push out: the last equally urgent one, if that is behind its tenant's share and this one is not. */
-  private displacedBy({ priority }: AdmissionRequest, isBehind: boolean): Waiter | undefined {
+  /**
+   * The task that the request may displace: the last one of the same priority, if its tenant is
+   * over its share and the tenant of the request is not.
+   */
+  private displacedBy({ priority }: AdmissionRequest, isOverShare: boolean): Waiter | undefined {
     const last = this.waiting.findLast(({ waiter }) => waiter.request.priority === priority);
-    return !isBehind && last?.isOverShare ? last.waiter : undefined;
+    return !isOverShare && last?.isOverShare ? last.waiter : undefined;
   }
 
   private isStillInTime(waiter: Waiter, now: number): boolean {
@@ -234,7 +238,7 @@
   private isInTime(request: AdmissionRequest, ahead: number, now: number): boolean {
     const aloneMs = request.isExclusive ? this.times.overallMs : 0;
     const waitMs = Math.max(this.expectedWaitMs(request, ahead), aloneMs);
-    return now + waitMs + this.expectedServiceMs(request.route) <= horizonOf(request);
+    return now + waitMs + this.expectedServiceMs(request.route) <= latestEndAt(request);
   }
 
   private expectedWaitMs(request: AdmissionRequest, ahead: number): number {
@@ -250,25 +254,28 @@
     return this.times.expectedMs(route);
   }
 
-  /** Steady time in milliseconds by which a task must have begun to be in time. */
+  /** Steady time in milliseconds by which a task must start to meet its target. */
   latestStartAt(request: WaitingTask['request']): number {
-    return horizonOf(request) - this.expectedServiceMs(request.route);
+    return latestEndAt(request) - this.expectedServiceMs(request.route);
   }
 
-  /** How many go before a task that comes. */
-  private placeOf(request: AdmissionRequest, isBehind: boolean): number {
+  /** Position of an arriving task: the number of waiting tasks that go first. */
+  private positionOf(request: AdmissionRequest, isOverShare: boolean): number {
     const rank = rankOf(request);
-    const goesAfter = ({ waiter, isOverShare: other }: QueuedTask): boolean => {
+    const goesAfter = ({ waiter, isOverShare: isOtherOverShare }: QueuedTask): boolean => {
       const otherRank = rankOf(waiter.request);
-      return otherRank > rank || (otherRank === rank && other && !isBehind);
+      return otherRank > rank || (otherRank === rank && isOtherOverShare && !isOverShare);
     };
-    const place = this.waiting.findIndex(goesAfter);
-    return place < 0 ? this.waiting.length : place;
+    const position = this.waiting.findIndex(goesAfter);
+    return position < 0 ? this.waiting.length : position;
   }
 }
 
-/** A task that can no longer meet its target is not worth a slot that others can use in time. */
-function horizonOf(request: Pick<AdmissionRequest, 'targetAt' | 'deadlineAt'>): number {
+/**
+ * Steady time in milliseconds by which a task must have ended. A task that can no longer meet its
+ * target gets no slot, as other tasks can still use the slot in time.
+ */
+function latestEndAt(request: Pick<AdmissionRequest, 'targetAt' | 'deadlineAt'>): number {
   return Math.min(request.targetAt, request.deadlineAt);
 }
 
--- a/src/owner/callScheduler.ts
+++ b/src/owner/callScheduler.ts
@@ -1,62 +1,64 @@
 /**
- * Whose turn it is at a full back end among calls and clients. A call is made by a request that holds a
- * slot elsewhere and has run for nothing if the call fails. So calls go before clients that are equally
- * urgent. They wait no longer than their target, as clients do: a late call makes its parent late.
+ * Chooses the next waiting task of a full back end: a call or a client's request. A call is made by
+ * a request that holds a slot elsewhere, and that work is wasted if the call fails. So calls go
+ * before clients of the same priority. Like clients, they wait no longer than their target allows:
+ * a late call makes its parent request late.
  */
 
 import { PRIORITY_COUNT } from '../tenants/priority.js';
 
 /**
- * Part of the slots that calls may hold before waiting clients that are equally urgent: a quarter stays
- * for the service's own clients, so that a burst at its callers does not stop them.
+ * Share of the slots that calls may hold while clients of the same priority wait. A quarter remains
+ * for the service's own clients, so that a burst of calls does not block them.
  */
 export const CALL_SLOT_SHARE = 0.75;
 
 /**
- * Where long work of a lower priority holds the other slots, calls may take every slot that comes free,
- * and a client that let them all pass would be refused in the end. So one that has waited this part of
- * what it can goes after so many calls: three to one, as with the slots.
+ * If long tasks of a lower priority hold the other slots, calls may take every slot that becomes
+ * free, and a waiting client would be rejected in the end. So a client that has waited this share
+ * of the time that it can wait goes next after this number of consecutive calls: three to one, as
+ * with the slots.
  */
-const YIELDING_SHARE = 0.5;
-const CALLS_IN_A_ROW = 3;
+const MAX_YIELD_SHARE = 0.5;
+const MAX_CONSECUTIVE_CALLS = 3;
 
-/** Turns within one priority: calls, then clients. */
-const TURNS = 2;
+/** Ranks within one priority: calls, then clients. */
+const RANKS_PER_PRIORITY = 2;
 
-/** What a turn is told by. */
+/** The properties of a task that scheduling depends on. */
 export interface SchedulingRequest {
   /** See `priorityOf`: 0 is the most urgent; a multiple of 1 / PRIORITY_COUNT. */
   readonly priority: number;
   /** True if a running back end waits for the answer. */
   readonly isCall?: boolean;
-  /** Steady time in milliseconds until which an answer is worth most. */
+  /** Steady time in milliseconds until which an answer is in time. */
   readonly targetAt: number;
   /** Steady time in milliseconds after which nobody waits for an answer. */
   readonly deadlineAt: number;
 }
 
-/** A task that waits for its turn. */
+/** A task that waits for a slot. */
 export interface WaitingTask {
   readonly request: SchedulingRequest & { readonly route: string };
-  /** Steady time in milliseconds. */
+  /** Steady time in milliseconds at which the task began to wait. */
   readonly since: number;
 }
 
-/** What turns go by besides the queue. */
+/** The state of the back end that scheduling depends on. */
 export interface SchedulingContext {
   /** Tasks that may run at once. */
   readonly slots: number;
-  /** Steady time in milliseconds. */
+  /** Current steady time in milliseconds. */
   readonly now: number;
-  /** Steady time in milliseconds by which a task must have begun to be in time. */
+  /** Steady time in milliseconds by which a task must start to meet its target. */
   readonly latestStartAt: (request: WaitingTask['request']) => number;
 }
 
-/** Kept by the admission control of one back end. */
+/** The admission control of a back end has one. */
 export interface CallScheduler {
   noteStarted(request: Pick<SchedulingRequest, 'isCall'>): void;
   noteEnded(request: Pick<SchedulingRequest, 'isCall'>): void;
-  /** The next of a queue that is kept in order of rank. */
+  /** Returns the next task of a queue that is in order of rank. */
   next<Queued extends WaitingTask>(
     waiting: readonly Queued[],
     context: SchedulingContext,
@@ -64,43 +66,44 @@
 }
 
 /**
- * Place in the queue; smaller goes first. Priorities are 1 / PRIORITY_COUNT apart: scaled to whole steps,
- * they leave room for a call and a client in each.
+ * Rank of a task in the queue; a smaller rank goes first. Priorities are multiples of 1 /
+ * PRIORITY_COUNT, so each scaled priority is a whole number, with one rank for calls and one for
+ * clients.
  */
 export function rankOf({
   priority,
   isCall,
 }: Pick<SchedulingRequest, 'priority' | 'isCall'>): number {
-  return priority * PRIORITY_COUNT * TURNS + (isCall ? 0 : 1);
+  return priority * PRIORITY_COUNT * RANKS_PER_PRIORITY + (isCall ? 0 : 1);
 }
 
 export function createCallScheduler(): CallScheduler {
-  let running = 0;
-  let inARow = 0;
+  let runningCalls = 0;
+  let consecutiveCalls = 0;
   return {
     noteStarted: ({ isCall }) => {
-      running += isCall ? 1 : 0;
-      inARow = isCall ? inARow + 1 : 0;
+      runningCalls += isCall ? 1 : 0;
+      consecutiveCalls = isCall ? consecutiveCalls + 1 : 0;
     },
     noteEnded: ({ isCall }) => {
-      running -= isCall ? 1 : 0;
+      runningCalls -= isCall ? 1 : 0;
     },
     next: (waiting, { slots, now, latestStartAt }) => {
       const [first] = waiting;
-      const client = first?.request.isCall ? firstClientLike(first, waiting) : undefined;
+      const client = first?.request.isCall ? firstClientOfPriority(first, waiting) : undefined;
       if (!client) {
         return first;
       }
       const canWaitMs = latestStartAt(client.request) - client.since;
-      const hasWaitedLong = now - client.since > canWaitMs * YIELDING_SHARE;
-      const isItsTurn = hasWaitedLong && inARow >= CALLS_IN_A_ROW;
-      return isItsTurn || running >= slots * CALL_SLOT_SHARE ? client : first;
+      const hasWaitedLong = now - client.since > canWaitMs * MAX_YIELD_SHARE;
+      const isClientNext = hasWaitedLong && consecutiveCalls >= MAX_CONSECUTIVE_CALLS;
+      return isClientNext || runningCalls >= slots * CALL_SLOT_SHARE ? client : first;
     },
   };
 }
 
-/** The first client that is as urgent as a call, if none more urgent is ahead of it. */
-function firstClientLike<Queued extends WaitingTask>(
+/** The first waiting client, if it has the call's priority. */
+function firstClientOfPriority<Queued extends WaitingTask>(
   call: Queued,
   waiting: readonly Queued[],
 ): Queued | undefined {
--- a/src/owner/priorityLoad.ts
+++ b/src/owner/priorityLoad.ts
@@ -1,36 +1,39 @@
-/** How the back end's time divides among ranks (see `rankOf`), as a moving average. */
+/** Measures how the back end's time divides among ranks (see `rankOf`), as a moving average. */
 
 /** Weight of the newest task. */
 const WEIGHT = 0.02;
 
-/** A share above this makes no further difference: some time is always left for the rest. */
+/** Upper limit of the share, so that some time is always left for other ranks. */
 const MAX_SHARE = 0.8;
 
-/** Watches the tasks of one back end. */
+/** Measures the tasks of one back end. */
 export interface PriorityLoad {
-  /** A task has taken this many milliseconds. */
+  /** Records the time that a task has taken, in milliseconds. */
   note(rank: number, serviceMs: number): void;
-  /** Share of the time that tasks of a smaller rank take, from 0 to MAX_SHARE. */
+  /**
+   * Share of the time that tasks of a smaller rank take, from 0 to MAX_SHARE; 0 before the first
+   * task.
+   */
   shareBelowRank(rank: number): number;
 }
 
 export function createPriorityLoad(): PriorityLoad {
-  const spent = new Map<number, number>();
+  const msByRank = new Map<number, number>();
   return {
     note: (rank, serviceMs) => {
-      for (const [known, ms] of spent) {
-        spent.set(known, ms * (1 - WEIGHT));
+      for (const [otherRank, ms] of msByRank) {
+        msByRank.set(otherRank, ms * (1 - WEIGHT));
       }
-      spent.set(rank, (spent.get(rank) ?? 0) + serviceMs * WEIGHT);
+      msByRank.set(rank, (msByRank.get(rank) ?? 0) + serviceMs * WEIGHT);
     },
     shareBelowRank: (rank) => {
-      let all = 0;
-      let urgent = 0;
-      for (const [known, ms] of spent) {
-        all += ms;
-        urgent += known < rank ? ms : 0;
+      let totalMs = 0;
+      let moreUrgentMs = 0;
+      for (const [otherRank, ms] of msByRank) {
+        totalMs += ms;
+        moreUrgentMs += otherRank < rank ? ms : 0;
       }
-      return all === 0 ? 0 : Math.min(MAX_SHARE, urgent / all);
+      return totalMs === 0 ? 0 : Math.min(MAX_SHARE, moreUrgentMs / totalMs);
     },
   };
 }
--- a/src/owner/queueWait.ts
+++ b/src/owner/queueWait.ts
@@ -1,13 +1,13 @@
 /**
- * How long a task is expected to wait at a full back end: the work of those ahead of it, at the share of
- * the back end's time that those leave who are more urgent and go on arriving.
+ * Predicts how long a task waits at a full back end: the work of the tasks ahead of it, divided by
+ * the share of the back end's time that is not used by more urgent tasks that keep arriving.
  */
 
 import { CALL_SLOT_SHARE, rankOf, type SchedulingRequest } from './callScheduler.js';
 import type { PriorityLoad } from './priorityLoad.js';
 import type { ServiceTimes } from './serviceTimes.js';
 
-/** A task as far as its wait goes. */
+/** The properties of a task that its wait depends on. */
 export interface QueuedRequest extends SchedulingRequest {
   readonly route: string;
 }
@@ -19,23 +19,24 @@
   readonly priorityLoad: Pick<PriorityLoad, 'shareBelowRank'>;
 }
 
-/** Milliseconds until a task begins that comes behind others. */
+/** Expected milliseconds until a task starts that waits behind the tasks `ahead`. */
 export function queueWaitMs(
   request: QueuedRequest,
   ahead: readonly QueuedRequest[],
   context: QueueWaitContext,
 ): number {
-  const waitMs = drainMs(ahead, context) / shareLeftTo(request, context);
+  const waitMs = drainMs(ahead, context) / availableShare(request, context);
   if (request.isCall) {
     return waitMs;
   }
-  // Clients have their part of the slots beside calls that are as urgent, however many these are.
+  // Calls of the same priority, however many, leave clients a share of the slots. This bounds the
+  // wait.
   const clients = ahead.filter(({ isCall, priority }) => !isCall || priority < request.priority);
-  const left = shareLeftTo({ ...request, isCall: true }, context) * (1 - CALL_SLOT_SHARE);
-  return Math.min(waitMs, drainMs(clients, context) / left);
+  const clientShare = availableShare({ ...request, isCall: true }, context) * (1 - CALL_SLOT_SHARE);
+  return Math.min(waitMs, drainMs(clients, context) / clientShare);
 }
 
-/** Milliseconds until a slot is free behind tasks that wait, if no others come. */
+/** Expected milliseconds until a slot is free after the waiting tasks, if no others arrive. */
 export function drainMs(
   waiting: readonly QueuedRequest[],
   { slots, times }: Pick<QueueWaitContext, 'slots' | 'times'>,
@@ -44,8 +45,8 @@
   return slots === 0 ? times.overallMs : workMs / slots;
 }
 
-/** Share of the back end's time that is left beside what is more urgent, above 0. */
-function shareLeftTo(
+/** Share of the back end's time that tasks of smaller rank leave; above 0. */
+function availableShare(
   request: SchedulingRequest,
   { priorityLoad }: Pick<QueueWaitContext, 'priorityLoad'>,
 ): number {
--- a/src/owner/serviceTimes.ts
+++ b/src/owner/serviceTimes.ts
@@ -1,84 +1,93 @@
 /**
- * How long a back end takes for a task, by route. Two predictions are kept: the moving average of what
- * tasks took, and the same at usual speed times the slowness that the back end tells. The one that has been
- * nearer to the truth lately is used: a back end that tells nothing, or something false, is judged by
- * what the owner has measured itself.
+ * Predicts how long a back end takes for a task, by route. Two predictions are kept: the moving
+ * average of the times that tasks took, and the moving average of their times at usual speed,
+ * multiplied by the slowness that the back end reports. The prediction with the smaller recent
+ * error is used. So if a back end reports no slowness, or a false one, the owner's own measurements
+ * decide.
  */
 
 /** Weight of the newest task in the moving averages. */
 const WEIGHT = 0.1;
 
-/** Assumed time, in milliseconds, until one has been seen. */
+/** Assumed time of a task, in milliseconds, until one has ended. */
 const INITIAL_MS = 20;
 
 interface Averages {
   /** Milliseconds that tasks took. */
   plainMs: number;
-  /** Milliseconds that they would have taken at usual speed. */
+  /** Milliseconds that tasks would have taken at usual speed. */
   usualMs: number;
 }
 
 export interface ServiceTimes {
   /** Milliseconds that a task of a route is expected to take now. */
   expectedMs(route: string): number;
-  /** The same over all routes; undefined until a task has ended. */
+  /** Expected milliseconds over all routes. Undefined until a task has ended. */
   readonly meanMs: number | undefined;
-  /** Milliseconds over all routes, or what is assumed. */
+  /** Expected milliseconds over all routes, or the assumed time until a task has ended. */
   readonly overallMs: number;
-  /** A task has taken so many milliseconds while the back end told this slowness. */
+  /** Records the milliseconds that a task took and the slowness that was reported meanwhile. */
   note(route: string, tookMs: number, slowness: number): void;
 }
 
-/** `slowness` tells how long work takes now, as a multiple of what is usual. */
+/** `slowness` returns how long work takes now, as a multiple of the usual time. */
 export function createServiceTimes(slowness: () => number = () => 1): ServiceTimes {
   const routes = new Map<string, Averages>();
-  let all: Averages | undefined;
+  let overall: Averages | undefined;
   let plainError = 0;
-  let toldError = 0;
+  let slownessError = 0;
 
   const expected = (averages: Averages | undefined): number => {
     if (!averages) {
       return INITIAL_MS;
     }
-    return toldError < plainError ? averages.usualMs * slowness() : averages.plainMs;
+    return slownessError < plainError ? averages.usualMs * slowness() : averages.plainMs;
   };
 
-  const noteErrors = ({ plainMs, usualMs }: Averages, tookMs: number, told: number): void => {
+  const noteErrors = (
+    { plainMs, usualMs }: Averages,
+    tookMs: number,
+    reportedSlowness: number,
+  ): void => {
     plainError += (errorOf(plainMs, tookMs) - plainError) * WEIGHT;
-    toldError += (errorOf(usualMs * told, tookMs) - toldError) * WEIGHT;
+    slownessError += (errorOf(usualMs * reportedSlowness, tookMs) - slownessError) * WEIGHT;
   };
 
   return {
-    expectedMs: (route) => expected(routes.get(route) ?? all),
+    expectedMs: (route) => expected(routes.get(route) ?? overall),
     get meanMs() {
-      return all && expected(all);
+      return overall && expected(overall);
     },
     get overallMs() {
-      return expected(all);
+      return expected(overall);
     },
-    note: (route, tookMs, told) => {
-      const known = routes.get(route);
-      if (known) {
-        noteErrors(known, tookMs, told);
+    note: (route, tookMs, reportedSlowness) => {
+      const previous = routes.get(route);
+      if (previous) {
+        noteErrors(previous, tookMs, reportedSlowness);
       }
-      routes.set(route, averaged(known, tookMs, told));
-      all = averaged(all, tookMs, told);
+      routes.set(route, updatedAverages(previous, tookMs, reportedSlowness));
+      overall = updatedAverages(overall, tookMs, reportedSlowness);
     },
   };
 }
 
-/** How far a prediction was off: the same for half and for twice the time. */
+/** Error of a prediction: the same for half and for twice the time. */
 function errorOf(predictedMs: number, tookMs: number): number {
   return Math.abs(Math.log(Math.max(1, tookMs) / Math.max(1, predictedMs)));
 }
 
-function averaged(known: Averages | undefined, tookMs: number, slowness: number): Averages {
+function updatedAverages(
+  previous: Averages | undefined,
+  tookMs: number,
+  slowness: number,
+): Averages {
   const usualMs = tookMs / slowness;
-  if (!known) {
+  if (!previous) {
     return { plainMs: tookMs, usualMs };
   }
   return {
-    plainMs: known.plainMs + (tookMs - known.plainMs) * WEIGHT,
-    usualMs: known.usualMs + (usualMs - known.usualMs) * WEIGHT,
+    plainMs: previous.plainMs + (tookMs - previous.plainMs) * WEIGHT,
+    usualMs: previous.usualMs + (usualMs - previous.usualMs) * WEIGHT,
   };
 }
--- a/src/owner/slotWait.ts
+++ b/src/owner/slotWait.ts
@@ -1,19 +1,19 @@
-/** A task's wait for a slot of the back end. */
+/** Queues a task until it gets a slot of the back end, is rejected or is cancelled. */
 import type { Clock } from '../model/clock.js';
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import type { AdmissionControl, AdmissionRequest, Waiter } from './admission-control.js';
 import { createRejection, type NotRunReason, type OwnerOutcome, type OwnerTask } from './owner.js';
 
-/** What the wait needs of its owner. */
+/** The parts of the owner that the wait uses. */
 export interface SlotWaitContext {
   readonly clock: Clock;
   readonly timers: SuspendAwareTimers;
   readonly admission: AdmissionControl;
-  /** Why no task may be taken now, if so. */
+  /** Why the owner accepts no tasks now. Undefined if it accepts them. */
   readonly rejectionReason: () => NotRunReason | undefined;
 }
 
-/** Resolves with undefined when the task holds a slot. */
+/** Resolves with undefined when the task has a slot, otherwise with its rejection. */
 export function waitForSlot(
   task: OwnerTask,
   request: AdmissionRequest,
@@ -34,19 +34,20 @@
         resolve(createRejection(rejectionReason() ?? 'busy', retryAfterMs));
       },
     };
-    const forget = task.cancellation.onCancel(() => {
+    const removeCancelListener = task.cancellation.onCancel(() => {
       cancelTimer();
       admission.remove(waiter);
       resolve(createRejection('cancelled'));
     });
-    // No slot may become free for long: what can no longer be in time is told so at once.
+    // No slot may become free for a long time, so a task is rejected as soon as it can't be in
+    // time.
     const cancelTimer = timers.set(() => {
       admission.remove(waiter);
       waiter.reject(admission.retryAfterMs());
     }, admission.latestStartAt(request) - now);
     const release = () => {
       cancelTimer();
-      forget();
+      removeCancelListener();
     };
     admission.enqueue(waiter);
     task.onProgress('queued');
--- a/src/owner/tenantFairness.ts
+++ b/src/owner/tenantFairness.ts
@@ -1,51 +1,60 @@
 /**
- * Who waits behind the others at a full back end: a tenant that has had more of it lately than its
- * share. All others go in the order of arrival, so that a shortage falls on all alike. Calls of back
- * ends have no tenant and are never behind.
+ * Finds tenants that have recently used more than their share of a full back end. Their tasks wait
+ * behind those of other tenants. All other tasks go in the order of arrival, so that a shortage
+ * affects totalUsage tenants equally. Calls of back ends have no tenant and are never over a share.
  */
 
-/** A tenant's fair share of a full back end, from 0 to 1: its rate limit over the sum of all tenants' limits. */
+/**
+ * Returns a tenant's fair share of a full back end, from 0 to 1: its rate limit divided by the sum
+ * of all tenants' limits.
+ */
 export type TenantShare = (tenant: string) => number;
 
-/** What a tenant has had counts half after this time, in milliseconds: the few seconds of a client's retries. */
+/** Half-life of a tenant's usage, in milliseconds: a client's retries take a few seconds. */
 const HALF_LIFE_MS = 5_000;
 
-/** Requests by which it may have more than its share: those of a small tenant may well come together. */
+/**
+ * Requests that a tenant may have beyond its share: those of a small tenant may arrive in a burst.
+ */
 const FREE_REQUESTS = 3;
 
 export interface TenantFairness {
-  /** A task of a tenant has been given a slot. */
+  /** Records that a task of a tenant has been given a slot. */
   note(tenant: string | undefined, now: number): void;
-  /** True if a task of a tenant waits behind those of others that are equally urgent. */
+  /** True if the tenant's tasks wait behind other tenants' tasks of the same rank. */
   isOverShare(tenant: string | undefined, now: number): boolean;
 }
 
-/** A count that fades. */
-interface Amount {
-  readonly amount: number;
+/** A count that decays over time. */
+interface Usage {
+  readonly count: number;
+  /** Steady time in milliseconds to which the count has been decayed. */
   readonly at: number;
 }
 
 export function createTenantFairness(shareOf: TenantShare): TenantFairness {
-  const had = new Map<string, Amount>();
-  let all: Amount | undefined;
+  const usageByTenant = new Map<string, Usage>();
+  let totalUsage: Usage | undefined;
   return {
     note: (tenant, now) => {
       if (tenant !== undefined) {
-        had.set(tenant, { amount: faded(had.get(tenant), now) + 1, at: now });
-        all = { amount: faded(all, now) + 1, at: now };
+        usageByTenant.set(tenant, {
+          count: decayedCount(usageByTenant.get(tenant), now) + 1,
+          at: now,
+        });
+        totalUsage = { count: decayedCount(totalUsage, now) + 1, at: now };
       }
     },
     isOverShare: (tenant, now) => {
       if (tenant === undefined) {
         return false;
       }
-      const allowed = shareOf(tenant) * faded(all, now) + FREE_REQUESTS;
-      return faded(had.get(tenant), now) > allowed;
+      const allowed = shareOf(tenant) * decayedCount(totalUsage, now) + FREE_REQUESTS;
+      return decayedCount(usageByTenant.get(tenant), now) > allowed;
     },
   };
 }
 
-function faded(amount: Amount | undefined, now: number): number {
-  return amount ? amount.amount * 0.5 ** ((now - amount.at) / HALF_LIFE_MS) : 0;
+function decayedCount(usage: Usage | undefined, now: number): number {
+  return usage ? usage.count * 0.5 ** ((now - usage.at) / HALF_LIFE_MS) : 0;
 }
