--- a/src/owner/back-end-call.ts
+++ b/src/owner/back-end-call.ts
@@ -1,7 +1,7 @@
 /**
  * Sends one task to the back end and verifies the answer: it must echo the
- * request's id, be whole, and bear the back end's signature. Says exactly what
- * is known when there is no such answer.
+ * request's id, be complete, and carry the back end's signature. Without such
+ * an answer, the outcome says whether the task certainly has not run.
  */
 
 import http from 'node:http';
@@ -14,39 +14,41 @@
 import type { OwnerOutcome, OwnerTask, UnknownReason } from './owner.js';
 import { endToEndFields } from './raw-headers.js';
 
-/** An answer up to this size, in bytes, is read whole before any of it is passed on. */
-const MAX_HELD_ANSWER_BYTES = 256 * 1024;
+/** An answer up to this size, in bytes, is read completely before any of it is passed on. */
+const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
 
-/** A connection to a back end on the same machine stands within this time, in milliseconds. */
+/** A back end on the same machine accepts a connection within this time, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 400;
 
-/** Answers that promise, by their status alone, that the request was not run. */
+/**
+ * Status by which a back end guarantees that it did not run the request (421 Misdirected Request).
+ */
 const MISDIRECTED = 421;
 
-/** Methods whose requests have a body, if only an empty one. */
+/** Methods whose requests are always framed as having a body, even an empty one. */
 const BODY_METHODS = new Set(['POST', 'PUT', 'PATCH']);
 
-/** What the call needs besides the task. */
+/** What a call to the back end needs besides the task and its body. */
 export interface BackEndCallOptions {
   readonly backEnd: BackEnd;
   readonly names: HeaderNames;
   readonly agent: http.Agent;
-  /** Milliseconds that are left for the back end. */
+  /** Milliseconds until the task's deadline. */
   readonly remainingMs: number;
 }
 
 /** How a call ended. */
 export interface BackEndCallResult {
   readonly outcome: OwnerOutcome;
-  /** True when nothing listens at the back end's address any more. */
+  /** True if the back end's address refuses connections or does not accept one in time. */
   readonly unreachable: boolean;
-  /** What the back end's answer told of its load, if there was one that did. */
+  /** Load report from the back end's answer. Undefined if there was none. */
   readonly load?: LoadReport | undefined;
-  /** True when a connection that was kept from earlier requests brought nothing until the end. */
+  /** True if the task was cancelled on a reused connection before any response arrived. */
   readonly wasReusedConnectionSilent?: boolean;
 }
 
-/** Sends the task; resolves once, never rejects. */
+/** Sends the task. Resolves once and never rejects. */
 export function callBackEnd(
   task: OwnerTask,
   body: MessageBody,
@@ -56,7 +58,7 @@
 }
 
 class BackEndCall {
-  /** True from the moment the first byte may leave for the back end. */
+  /** True from the moment at which the first byte may be sent to the back end. */
   private sent = false;
   private settled = false;
   private hasAnswer = false;
@@ -127,13 +129,16 @@
     return [...(isFramed ? ['Content-Length', String(length)] : []), 'Connection', 'keep-alive'];
   }
 
-  /** Nothing is written before the connection stands, so a failed connect proves "not run". */
+  /** Nothing is written before the connection is open, so a failed connect proves "not run". */
   private onSocket(request: http.ClientRequest, socket: Socket): void {
     if (!socket.connecting) {
       this.write(request);
       return;
     }
-    const timer = setTimeout(() => request.destroy(new Error('connect limit')), CONNECT_TIMEOUT_MS);
+    const timer = setTimeout(
+      () => request.destroy(new Error('connect timeout')),
+      CONNECT_TIMEOUT_MS,
+    );
     socket.once('connect', () => {
       clearTimeout(timer);
       if (!request.destroyed) {
@@ -188,8 +193,8 @@
     request: http.ClientRequest,
     response: http.IncomingMessage,
   ): Promise<void> {
-    breakOnReset(response);
-    const body = await collectBody(response, MAX_HELD_ANSWER_BYTES).catch(() => undefined);
+    destroyOnReset(response);
+    const body = await collectBody(response, MAX_BUFFERED_ANSWER_BYTES).catch(() => undefined);
     this.closeIfUnfinished(request);
     if (body === undefined) {
       this.unknown(this.task.cancellation.cancelled ? 'cancelled' : 'spoilt-answer');
@@ -207,8 +212,9 @@
   }
 
   /**
-   * A back end may answer before it has read the whole body and read on later.
-   * What it reads then must be this body or nothing, so the connection is closed.
+   * A back end may answer before it has read the whole body and read the rest
+   * later. The next request must not be read as that rest, so the connection is
+   * closed.
    */
   private closeIfUnfinished(request: http.ClientRequest): void {
     if (!request.writableFinished) {
@@ -248,12 +254,12 @@
 }
 
 /**
- * An answer without a length ends with its connection (RFC 9112, section 6.3,
- * rule 8), and one whose connection is reset is not whole. The runtime reports
- * a reset that arrives together with the last bytes as a plain end; only then
- * is the socket without a peer.
+ * Destroys an answer without a length if its connection is reset. Such an answer
+ * ends with its connection (RFC 9112, section 6.3, rule 8), so a reset means that
+ * it is incomplete. Node.js reports a reset that arrives together with the last
+ * bytes as a normal end, but the socket then has no remote address.
  */
-function breakOnReset(response: http.IncomingMessage): void {
+function destroyOnReset(response: http.IncomingMessage): void {
   const { headers, socket } = response;
   if (headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined) {
     return;
@@ -266,5 +272,5 @@
 }
 
 function isTimeout(error: Error): boolean {
-  return error.message === 'connect limit';
+  return error.message === 'connect timeout';
 }
--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -1,6 +1,7 @@
 /**
- * Whether the back end on this machine may get work: follows its registrations,
- * fences its drain, and asks its health when its state is not known.
+ * Decides whether the back end on this machine may receive tasks: follows its
+ * registrations, enforces the time limits of its drain, and checks its health
+ * while its state is unknown.
  */
 import type { Clock } from '../model/clock.js';
 import {
@@ -14,50 +15,52 @@
 import { checkHealth } from './healthCheck.js';
 import type { NotRunReason } from './owner.js';
 
-/** Time between two health questions while the back end's state is not known, in milliseconds. */
+/** Interval of health checks while the back end's state is unknown, in milliseconds. */
 const HEALTH_INTERVAL_MS = 700;
 
-/** Share of a drain's bound within which tasks that wait may still begin. */
+/** Share of the drain time during which waiting tasks may still start. */
 const DRAIN_QUEUE_SHARE = 0.4;
 
-/** Share of a drain's bound within which tasks that were admitted may still be sent. */
+/** Share of the drain time during which admitted tasks may still be sent. */
 const DRAIN_SEND_SHARE = 0.75;
 
-/** What the presence needs of its node. */
+/** The parts of the node that the presence uses. */
 export interface BackEndPresenceOptions {
-  /** For what is believed of the back end. */
+  /** Clock for the state of the back end and for the time limits of its drain. */
   readonly beliefClock: Clock;
   readonly names: HeaderNames;
-  /** Service that the settings name for this machine. */
+  /** Service that is set for this machine. */
   readonly service: () => string;
   readonly backEndAddress: () => string;
-  /** Path of the health question, or undefined while no configuration is known. */
+  /** Path of the health check. Undefined while no configuration is known. */
   readonly healthPath: (service: string) => string | undefined;
-  /** True unless the configuration is known and names no such service. */
+  /** True unless the configuration is known and has no such service. */
   readonly isServiceConfigured: (service: string) => boolean;
-  /** Milliseconds after an acknowledged drain in which work may still begin. */
+  /** Drain time: milliseconds after an acknowledged drain in which work may still start. */
   readonly drainMs: () => number;
 }
 
-/** Hears of the back end's comings and goings. */
+/** Callbacks for changes of the back end. */
 export interface BackEndPresenceListener {
-  /** Another life of the back end, or another back end, is there; called before the others. */
-  onNewIncarnation(life: BackEndIncarnation): void;
-  /** Another life, or other slots: work may be sent. */
+  /** A new incarnation, of the same or another back end, is present. Called before the others. */
+  onNewIncarnation(incarnation: BackEndIncarnation): void;
+  /**
+   * The back end is ready, with a new incarnation or another number of slots: tasks may be sent.
+   */
   onReady(backEnd: BackEnd): void;
-  /** Tasks that wait must not be sent any more. */
+  /** Waiting tasks must not be sent any more. */
   onUnavailable(): void;
-  /** Anything that others may want to know. */
+  /** The state of the back end has changed in any way that other nodes may need. */
   onChange(backEnd: BackEnd | undefined, cause: string): void;
 }
 
-/** One per node. */
+/** A node has one. */
 export class BackEndPresence {
-  private readonly registry = new BackEndRegistry((backEnd, isNewLife) =>
-    this.onBackEnd(backEnd, isNewLife),
+  private readonly registry = new BackEndRegistry((backEnd, isNewIncarnation) =>
+    this.onBackEnd(backEnd, isNewIncarnation),
   );
   private unreachable = false;
-  /** Steady time in milliseconds after which nothing may be sent to a back end that leaves. */
+  /** Steady time in milliseconds from which nothing may be sent to a draining back end. */
   private sendUntil = Number.POSITIVE_INFINITY;
   private isCheckingHealth = false;
   private timer: NodeJS.Timeout | undefined;
@@ -68,7 +71,7 @@
     private readonly listener: BackEndPresenceListener,
   ) {}
 
-  /** Begins to look for the back end. */
+  /** Starts the health checks that find the back end. */
   start(): void {
     this.timer = setInterval(() => this.checkHealthIfNeeded(), HEALTH_INTERVAL_MS);
     this.checkHealthIfNeeded();
@@ -83,12 +86,12 @@
     return this.registry.current;
   }
 
-  /** True when the back end has said that it leaves. */
+  /** True if the back end has reported that it drains. */
   get isDraining(): boolean {
     return this.registry.current?.state === 'draining';
   }
 
-  /** Why no new task may be taken, if so. */
+  /** Why new tasks are rejected. Undefined if they are accepted. */
   rejectionReason(): NotRunReason | undefined {
     if (!this.backEnd || this.unreachable) {
       return 'no-back-end';
@@ -96,14 +99,15 @@
     return this.isDraining ? 'draining' : undefined;
   }
 
-  /** Why a task that was admitted may not be sent any more, if so. */
+  /** Why admitted tasks may not be sent any more. Undefined if they may be sent. */
   sendRejectionReason(): NotRunReason | undefined {
     return this.options.beliefClock.now() >= this.sendUntil ? 'draining' : undefined;
   }
 
   /**
-   * Takes a heartbeat; the drain it tells is fenced before this returns. False if it is of a service that
-   * nobody names: of no back end to use, and not in place of one that is known.
+   * Applies a heartbeat. If it reports a drain, new tasks are rejected from before this returns.
+   * Returns false and ignores the heartbeat if its service is neither that of the current back end
+   * nor in the configuration: such a heartbeat must not replace a known back end.
    */
   heartbeat(beat: Heartbeat): boolean {
     if (beat.service !== this.backEnd?.service && !this.options.isServiceConfigured(beat.service)) {
@@ -112,26 +116,26 @@
     const result = this.registry.heartbeat(beat, this.options.beliefClock.now());
     if (result === 'unverified') {
       this.checkHealthIfNeeded();
-    } else if (result === 'applied' && this.isPresent(beat)) {
+    } else if (result === 'applied' && this.isCurrent(beat)) {
       this.setReachable(true);
     }
     return true;
   }
 
-  /** Takes a deregistration; it is fenced before this returns. */
-  deregister(life: BackEndIncarnation): void {
-    this.registry.deregister(life);
+  /** Applies a deregistration: new tasks are rejected from before this returns. */
+  deregister(incarnation: BackEndIncarnation): void {
+    this.registry.deregister(incarnation);
   }
 
-  /** Nothing listened at the address of this life; a later one may be there already. */
-  noteUnreachable(life: BackEndIncarnation): void {
-    if (this.isPresent(life)) {
+  /** Nothing listened at this incarnation's address. Ignored if a later one is already present. */
+  noteUnreachable(incarnation: BackEndIncarnation): void {
+    if (this.isCurrent(incarnation)) {
       this.setReachable(false);
     }
   }
 
-  private isPresent(life: BackEndIncarnation): boolean {
-    return this.backEnd !== undefined && isSameIncarnation(life, this.backEnd);
+  private isCurrent(incarnation: BackEndIncarnation): boolean {
+    return this.backEnd !== undefined && isSameIncarnation(incarnation, this.backEnd);
   }
 
   private setReachable(reachable: boolean): void {
@@ -145,9 +149,9 @@
     this.listener.onChange(this.backEnd, reachable ? 'reachable' : 'unreachable');
   }
 
-  private onBackEnd(backEnd: BackEnd, isNewLife: boolean): void {
-    if (isNewLife) {
-      // The drain of the life before does not bind the next one.
+  private onBackEnd(backEnd: BackEnd, isNewIncarnation: boolean): void {
+    if (isNewIncarnation) {
+      // The drain of the previous incarnation does not limit the next one.
       clearTimeout(this.drainTimer);
       this.sendUntil = Number.POSITIVE_INFINITY;
       this.listener.onNewIncarnation(backEnd);
@@ -161,7 +165,7 @@
     this.listener.onChange(backEnd, backEnd.state);
   }
 
-  /** Once in a life: what it says of its drain later moves no bound that was acknowledged. */
+  /** Called once per incarnation: later reports of its drain don't move the acknowledged limits. */
   private beginDrain(): void {
     const { beliefClock, drainMs } = this.options;
     this.drainTimer = setTimeout(
@@ -171,7 +175,7 @@
     this.sendUntil = beliefClock.now() + drainMs() * DRAIN_SEND_SHARE;
   }
 
-  /** Asks the back end who it is while that is not known. */
+  /** Checks the back end's health while its incarnation or its state is unknown. */
   checkHealthIfNeeded(): void {
     const { pendingHeartbeat } = this.registry;
     const isKnown =
@@ -199,9 +203,9 @@
       this.setReachable(true);
       return;
     }
-    const wasAnnounced = report.instance === this.registry.pendingHeartbeat?.instance;
-    if (this.backEnd && !wasAnnounced) {
-      // The address may have gone to another service: only a heartbeat can tell.
+    const isPendingHeartbeat = report.instance === this.registry.pendingHeartbeat?.instance;
+    if (this.backEnd && !isPendingHeartbeat) {
+      // The address may now belong to another service, which only a heartbeat can confirm.
       return;
     }
     const now = this.options.beliefClock.now();
--- a/src/owner/backEndConnections.ts
+++ b/src/owner/backEndConnections.ts
@@ -1,26 +1,26 @@
 /**
- * Connections to back ends. A connection on which anything arrives while no
- * request is under way is destroyed: a late or crossed answer must not be taken
- * for the answer to the next request.
+ * Connections to back ends. A connection that receives data while no request is
+ * in flight is destroyed, so that a late or misdirected answer is not matched to
+ * the next request.
  */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { closeIdleConnections } from '../model/idleConnections.js';
 
-/** An idle connection is closed after this time, in milliseconds: sooner than servers usually do. */
+/** Idle connections are closed after this time, in milliseconds: sooner than servers usually do. */
 const IDLE_LIMIT_MS = 4_000;
 
-/** Keeps connections for requests that may be repeated. */
+/** Keeps connections alive for requests that may be repeated. */
 class GuardedAgent extends http.Agent {
   private readonly guards = new WeakMap<Socket, () => void>();
-  /** False once another life of the back end is there: what is open leads to the one before. */
+  /** False after a new incarnation: open connections lead to the previous one. */
   keepsConnections = true;
 
   constructor() {
     super({ keepAlive: true, timeout: IDLE_LIMIT_MS, scheduling: 'lifo' });
   }
 
-  /** Called by Node when a request has left its connection free. */
+  /** Called by Node.js when a request has ended and its connection is idle. */
   override keepSocketAlive(socket: Socket): boolean {
     const keep =
       this.keepsConnections && (super.keepSocketAlive(socket as never) as unknown as boolean);
@@ -30,7 +30,7 @@
     return keep;
   }
 
-  /** Called by Node when an idle connection is given the next request. */
+  /** Called by Node.js when an idle connection is assigned to the next request. */
   override reuseSocket(socket: Socket, request: http.ClientRequest): void {
     const guard = this.guards.get(socket);
     if (guard) {
@@ -47,26 +47,26 @@
   private readonly singleUseAgent = new http.Agent({ keepAlive: false });
 
   /**
-   * The agent for a request. One that may not be repeated gets a connection of
-   * its own: on a reused one a reset would leave open whether it was run.
+   * The agent for a request. A request that may not be repeated gets a new
+   * connection: after a reset of a reused one it is unknown whether it was run.
    */
   agentFor(repeatable: boolean): http.Agent {
     return repeatable ? this.reusableAgent : this.singleUseAgent;
   }
 
-  /** Closes kept connections that are idle, after one that was kept brought no answer. */
+  /** Closes idle connections, after a reused connection has brought no answer. */
   closeIdle(): void {
     closeIdleConnections(this.reusableAgent);
   }
 
-  /** Another life of the back end is there: what leads to the one before is not used again. */
+  /** Stops reusing connections to the previous incarnation. Called for a new incarnation. */
   reset(): void {
     this.closeIdle();
     this.reusableAgent.keepsConnections = false;
     this.reusableAgent = new GuardedAgent();
   }
 
-  /** Closes what is idle. */
+  /** Closes all connections of the current agents. */
   close(): void {
     this.reusableAgent.destroy();
     this.singleUseAgent.destroy();
--- a/src/owner/backEndLoad.ts
+++ b/src/owner/backEndLoad.ts
@@ -1,23 +1,26 @@
-/** What the owner believes of the load of its back end, from the back end's newest reports. */
+/** Estimates the load of the owner's back end from the back end's latest reports. */
 import type { LoadReport } from './loadReport.js';
 
 /**
- * A report counts half after this time, in milliseconds. Other programs on the machine come and go several
- * times a second: what is older than two of their changes says little, and one report alone is noise.
+ * Half-life of a report's weight, in milliseconds. The load by other programs on the machine
+ * changes several times a second: a report older than two such changes says little, and a single
+ * report is noise.
  */
 const HALF_LIFE_MS = 250;
 
-/** Without a report for so long, in milliseconds, the back end counts as running at its usual speed. */
+/**
+ * Without a report for this time, in milliseconds, the back end is assumed to run at usual speed.
+ */
 const LIFETIME_MS = 2_000;
 
 export interface BackEndLoad {
-  /** The back end has told its load. */
+  /** Records a load report of the back end. */
   note(report: LoadReport, now: number): void;
-  /** How long work takes now, as a multiple of what is usual; 1 when nothing is known. */
+  /** How long work takes now, as a multiple of the usual time; 1 without reports. */
   slowness(now: number): number;
-  /** Requests that wait in the back end. */
+  /** Requests that wait in the back end; 0 without a recent report. */
   waiting(now: number): number;
-  /** Another back end is there. */
+  /** Discards all reports. Called for a new incarnation. */
   reset(): void;
 }
 
@@ -34,14 +37,14 @@
       reportedAt = now;
       if (report.slowness !== undefined) {
         const weight = 1 - 0.5 ** ((now - slownessAt) / HALF_LIFE_MS);
-        // Reports that come at the same moment count as well, a little each.
+        // Reports that arrive at the same moment each have a small weight too.
         slowness += (report.slowness - slowness) * Math.max(weight, MIN_WEIGHT);
         slownessAt = now;
       }
     },
     slowness: (now) => {
-      const belief = Math.max(0, 1 - (now - slownessAt) / LIFETIME_MS);
-      return 1 + (slowness - 1) * belief;
+      const confidence = Math.max(0, 1 - (now - slownessAt) / LIFETIME_MS);
+      return 1 + (slowness - 1) * confidence;
     },
     waiting: (now) => (now - reportedAt < LIFETIME_MS ? waiting : 0),
     reset: () => {
@@ -53,5 +56,5 @@
   };
 }
 
-/** Least weight of a report, however soon it follows on another. */
+/** Minimum weight of a report, however soon it follows another. */
 const MIN_WEIGHT = 0.05;
--- a/src/owner/backEndObservations.ts
+++ b/src/owner/backEndObservations.ts
@@ -1,4 +1,4 @@
-/** What the owner observes of its back end: how fast it is, how much it fails, whether it answers at all. */
+/** Observes the owner's back end: its speed, its failures, and runs that it does not answer. */
 import type { Clock } from '../model/clock.js';
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { createBackEndLoad } from './backEndLoad.js';
@@ -9,15 +9,15 @@
 import { monitorRun, type RunMonitor } from './runMonitor.js';
 import { createServiceTimes, type ServiceTimes } from './serviceTimes.js';
 
-/** What is needed of the owner. */
+/** The parts of the owner that the observations use. */
 export interface BackEndObservationsContext {
   readonly clock: Clock;
   readonly timers: SuspendAwareTimers;
-  /** The back end does not seem to answer a run. */
+  /** A run is overdue: the back end does not seem to answer it. */
   readonly onOverdue: (run: OverdueRun) => void;
 }
 
-/** A run that the back end does not seem to answer. */
+/** A run that is overdue: the back end does not seem to answer it. */
 export interface OverdueRun {
   readonly requestId: string;
   readonly route: string;
@@ -26,34 +26,34 @@
   readonly waitedMs: number;
 }
 
-/** What a run has shown. */
+/** Measurements of a run that has ended. */
 export interface RunObservation {
-  /** Milliseconds that it took; undefined when that says nothing of the back end. */
+  /** Milliseconds that the run took. Undefined if the back end did not answer it. */
   readonly serviceMs: number | undefined;
-  /** How long work took meanwhile, as a multiple of what is usual. */
+  /** How long work took during the run, as a multiple of the usual time. */
   readonly slowness: number;
 }
 
-/** What the observations take of a task. */
+/** The members of a task that the observations use. */
 export type ObservedTask = Pick<OwnerTask, 'requestId' | 'route' | 'repeatable' | 'onProgress'>;
 
-/** A run that the back end works on. */
+/** A run in flight at the back end. */
 export interface ObservedRun {
   end(outcome: OwnerOutcome): RunObservation;
 }
 
 export interface BackEndObservations {
   readonly times: ServiceTimes;
-  /** Share of what was sent to the back end that failed, from 0 to 1; a moving average. */
+  /** Share of the tasks sent to the back end that failed, from 0 to 1; a moving average. */
   readonly failureShare: number;
-  /** How long work takes now, as a multiple of what is usual. */
+  /** How long work takes now, as a multiple of the usual time. */
   readonly slowness: number;
   /** Requests that wait in the back end. */
   readonly waiting: number;
   noteLoad(report: LoadReport): void;
-  /** A task is about to be sent to a back end of so many slots. */
+  /** Starts to observe a task that is about to be sent to a back end with `slots` slots. */
   begin(task: ObservedTask, slots: number): ObservedRun;
-  /** Another back end is there. */
+  /** Discards all but the service times. Called for a new incarnation. */
   reset(): void;
 }
 
@@ -67,8 +67,8 @@
   const slowness = (): number => load.slowness(clock.now());
   const times = createServiceTimes(slowness);
 
-  /** Undefined until it is known how long the back end usually takes. */
-  const watch = (task: ObservedTask, slots: number): RunMonitor | undefined => {
+  /** Undefined until the back end has finished a task: without that, no usual time is known. */
+  const monitor = (task: ObservedTask, slots: number): RunMonitor | undefined => {
     if (times.meanMs === undefined) {
       return undefined;
     }
@@ -96,19 +96,19 @@
   const begin = (task: ObservedTask, slots: number): ObservedRun => {
     const sentAt = clock.now();
     const slownessAtStart = slowness();
-    const watched = watch(task, slots);
+    const runMonitor = monitor(task, slots);
     return {
       end: (outcome) => {
         const isAnswered = outcome.kind === 'answer';
         const tookMs = clock.now() - sentAt;
-        const wasOverdue = watched?.end(isAnswered) ?? false;
-        // What was overdue has been counted then.
+        const wasOverdue = runMonitor?.end(isAnswered) ?? false;
+        // A run that became overdue was counted as a failure at that time.
         if (isAnswered || !wasOverdue) {
           failures.note(outcome, tookMs, times.expectedMs(task.route));
         }
         return {
           serviceMs: isAnswered ? tookMs : undefined,
-          // It has changed meanwhile: what the task met lies between.
+          // The slowness may have changed during the run, so its start and end are averaged.
           slowness: (slownessAtStart + slowness()) / 2,
         };
       },
--- a/src/owner/backEndRun.ts
+++ b/src/owner/backEndRun.ts
@@ -1,4 +1,4 @@
-/** What the end of a call says of the back end that ran it, as a roll-out counts it. */
+/** Derives from an ended task the run that a roll-out counts for the back end's version. */
 import type { BackEnd } from '../registry/back-end-registry.js';
 import { isSameIncarnation } from '../registry/backEndIncarnation.js';
 import { type BackEndRun, RunResult } from '../rollout/runCounts.js';
@@ -6,27 +6,27 @@
 
 const FIRST_FAILED_STATUS = 500;
 
-/** One call that has ended. */
+/** A task that was sent to the back end and has ended. */
 export interface EndedCall {
   readonly task: Pick<OwnerTask, 'route'>;
-  /** To which it was sent. */
+  /** Back end to which the task was sent. */
   readonly backEnd: BackEnd;
-  /** Present now: a back end tells its version some time after it is ready. */
+  /** Back end that is present now: a back end may report its version after it has become ready. */
   readonly currentBackEnd: BackEnd | undefined;
   readonly outcome: OwnerOutcome;
   readonly tookMs: number;
-  /** On the clock of `coldUntil`. */
+  /** Current time on the clock of `coldUntil`. */
   readonly now: number;
 }
 
-/** Undefined for a call that says nothing of the back end's version. */
+/** Undefined if the outcome gives no result for the back end's version. */
 export function backEndRunOf(call: EndedCall): BackEndRun | undefined {
   const { task, currentBackEnd, outcome, tookMs, now } = call;
   const backEnd =
     currentBackEnd && isSameIncarnation(currentBackEnd, call.backEnd)
       ? currentBackEnd
       : call.backEnd;
-  const result = runEndOf(outcome);
+  const result = runResultOf(outcome);
   return result === undefined
     ? undefined
     : {
@@ -39,19 +39,19 @@
       };
 }
 
-function runEndOf(outcome: OwnerOutcome): RunResult | undefined {
+function runResultOf(outcome: OwnerOutcome): RunResult | undefined {
   switch (outcome.kind) {
     case 'answer':
       return outcome.status >= FIRST_FAILED_STATUS ? RunResult.Failed : RunResult.Answered;
     case 'not-run':
       return undefined;
     case 'unknown':
-      return UNKNOWN_ENDS[outcome.reason];
+      return RESULT_BY_UNKNOWN_REASON[outcome.reason];
   }
 }
 
-/** What was lost on the way to this node tells nothing. */
-const UNKNOWN_ENDS = {
+/** Losses on the way between nodes (`peer-lost`, `body-lost`) give no result for the back end. */
+const RESULT_BY_UNKNOWN_REASON = {
   'connection-lost': RunResult.ConnectionLost,
   'foreign-answer': RunResult.Failed,
   'spoilt-answer': RunResult.Failed,
--- a/src/owner/callRouteDetector.ts
+++ b/src/owner/callRouteDetector.ts
@@ -1,47 +1,54 @@
 /**
- * Which routes are calls of running back ends, and not requests of clients. Nothing on a request says
- * so. Clients sit on all machines, so their requests begin beside back ends of every service; calls
- * begin only beside back ends of the services that make them. A route whose requests never began beside
- * a service from which the other routes have a fair share of theirs is called.
+ * Detects which routes are called by running back ends and not by clients. A request itself doesn't
+ * show this. Clients run on all machines, so their requests begin on machines of every service.
+ * Calls begin only on machines of the services that make them. So a route counts as a call route if
+ * hardly any of its requests began on machines of a service from which the other routes receive a
+ * substantial share of theirs.
  */
 
-/** Requests of a route that are remembered at least. */
-const REMEMBERED = 400;
+/** The counts of a route are halved when their sum exceeds twice this number of requests. */
+const MIN_COUNTED_REQUESTS = 400;
 
 /**
- * Requests that would have come from a service by now, were they from clients. Clients send several
- * requests from one machine, so it takes more than chance alone would ask for.
+ * Minimum number of requests that a service would have sent by now if the route were one of
+ * clients. It is larger than independent requests would need, since clients send several requests
+ * from one machine.
  */
 const EXPECTED_FROM_SERVICE = 8;
 
-/** Routes that are watched at once; with more, the counts begin anew, and verdicts stand until the next judgement. */
+/**
+ * Maximum number of counted routes. At more, all counts restart; results stay until the next
+ * evaluation.
+ */
 const MAX_ROUTES = 64;
 
-/** A route is judged at each so many-th of its requests: a judgement goes over all routes. */
-const JUDGED_EVERY = 16;
+/** Requests of a route between two evaluations, as an evaluation iterates over all routes. */
+const REQUESTS_PER_EVALUATION = 16;
 
-/** Above this share of what was expected, a service counts as one that sends the route. */
-const ABSENT_SHARE = 0.1;
+/** A service counts as a sender of the route from this share of the expected requests. */
+const MIN_SENDER_SHARE = 0.1;
 
-/** Watches the tasks that come to one owner. */
+/** Observes the tasks that arrive at one owner. */
 export interface CallRouteDetector {
-  /** A task of a route has come from a machine that runs a service. */
+  /** Records a task of a route from a machine that runs `callerService`. */
   noteRequest(route: string, callerService: string): void;
-  /** True when the route's requests are made by running back ends. */
+  /** True if the route's requests are made by running back ends. */
   isCallRoute(route: string): boolean;
 }
 
-/** Requests by the service beside which they began; older ones count less and less. */
-class Origins {
+/**
+ * Counts requests by the service on the machine where they began. The weight of older ones decays.
+ */
+class RequestOrigins {
   total = 0;
-  private sinceJudged = 0;
+  private sinceEvaluation = 0;
   private readonly counts = new Map<string, number>();
 
   note(service: string): void {
     this.total += 1;
-    this.sinceJudged += 1;
+    this.sinceEvaluation += 1;
     this.counts.set(service, this.countOf(service) + 1);
-    if (this.total > 2 * REMEMBERED) {
+    if (this.total > 2 * MIN_COUNTED_REQUESTS) {
       this.halve();
     }
   }
@@ -54,10 +61,13 @@
     return [...this.counts.keys()];
   }
 
-  /** True once for each JUDGED_EVERY requests; asking begins the next group. */
-  takeDue(): boolean {
-    const isDue = this.sinceJudged >= JUDGED_EVERY;
-    this.sinceJudged = isDue ? 0 : this.sinceJudged;
+  /**
+   * True once per REQUESTS_PER_EVALUATION requests; if so, restarts the count to the next
+   * evaluation.
+   */
+  startEvaluationIfDue(): boolean {
+    const isDue = this.sinceEvaluation >= REQUESTS_PER_EVALUATION;
+    this.sinceEvaluation = isDue ? 0 : this.sinceEvaluation;
     return isDue;
   }
 
@@ -70,38 +80,38 @@
 }
 
 export function createCallRouteDetector(): CallRouteDetector {
-  const byRoute = new Map<string, Origins>();
-  const called = new Set<string>();
+  const originsByRoute = new Map<string, RequestOrigins>();
+  const callRoutes = new Set<string>();
 
-  /** Requests of the other routes, of those that clients send as far as known. */
-  const othersOf = (route: string): Origins[] =>
-    [...byRoute].flatMap(([other, origins]) =>
-      other === route || called.has(other) ? [] : [origins],
+  /** Origins of the other routes, except known call routes. */
+  const otherOrigins = (route: string): RequestOrigins[] =>
+    [...originsByRoute].flatMap(([other, origins]) =>
+      other === route || callRoutes.has(other) ? [] : [origins],
     );
 
-  /** True if a service that sends other routes does not send this one. */
-  const isOnlyFromSome = (route: string, origins: Origins): boolean => {
-    const others = othersOf(route);
+  /** True if a service that sends other routes hardly sends this one. */
+  const lacksSender = (route: string, origins: RequestOrigins): boolean => {
+    const others = otherOrigins(route);
     const all = sumOf(others, ({ total }) => total);
-    const services = new Set(others.flatMap(({ services: known }) => known));
+    const services = new Set(others.flatMap(({ services: senders }) => senders));
     return [...services].some((service) => {
       const share = sumOf(others, (other) => other.countOf(service)) / all;
       const expected = share * origins.total;
-      const isAbsent = origins.countOf(service) < expected * ABSENT_SHARE;
-      return isAbsent && expected >= EXPECTED_FROM_SERVICE;
+      const isMissing = origins.countOf(service) < expected * MIN_SENDER_SHARE;
+      return isMissing && expected >= EXPECTED_FROM_SERVICE;
     });
   };
 
-  const originsOf = (route: string): Origins => {
-    const known = byRoute.get(route);
-    if (known) {
-      return known;
+  const originsOf = (route: string): RequestOrigins => {
+    const existing = originsByRoute.get(route);
+    if (existing) {
+      return existing;
     }
-    if (byRoute.size >= MAX_ROUTES) {
-      byRoute.clear();
+    if (originsByRoute.size >= MAX_ROUTES) {
+      originsByRoute.clear();
     }
-    const created = new Origins();
-    byRoute.set(route, created);
+    const created = new RequestOrigins();
+    originsByRoute.set(route, created);
     return created;
   };
 
@@ -109,19 +119,22 @@
     noteRequest: (route, callerService) => {
       const origins = originsOf(route);
       origins.note(callerService);
-      if (!origins.takeDue()) {
+      if (!origins.startEvaluationIfDue()) {
         return;
       }
-      if (isOnlyFromSome(route, origins)) {
-        called.add(route);
+      if (lacksSender(route, origins)) {
+        callRoutes.add(route);
       } else {
-        called.delete(route);
+        callRoutes.delete(route);
       }
     },
-    isCallRoute: (route) => called.has(route),
+    isCallRoute: (route) => callRoutes.has(route),
   };
 }
 
-function sumOf(all: readonly Origins[], countOf: (origins: Origins) => number): number {
+function sumOf(
+  all: readonly RequestOrigins[],
+  countOf: (origins: RequestOrigins) => number,
+): number {
   return all.reduce((sum, origins) => sum + countOf(origins), 0);
 }
--- a/src/owner/cancellation.ts
+++ b/src/owner/cancellation.ts
@@ -1,14 +1,14 @@
 /**
- * Tells the parts of one exchange that its caller has gone or its deadline has
- * passed. An AbortController would do the same, but creates an exception with a
- * stack for each request; this was 8 % of a node's busy time.
+ * Notifies the parts of one exchange that its caller has left or its deadline
+ * has passed. An AbortController would do the same, but creates an exception
+ * with a stack for each request, which took 8 % of a node's busy time.
  */
 export class Cancellation {
   private readonly listeners = new Set<() => void>();
   /** True once the exchange has been cancelled. */
   cancelled = false;
 
-  /** Cancels once; later calls do nothing. */
+  /** Cancels the exchange. Later calls have no effect. */
   cancel(): void {
     if (!this.cancelled) {
       this.cancelled = true;
@@ -18,7 +18,7 @@
     }
   }
 
-  /** Calls the listener when the exchange is cancelled; returns how to take it back. */
+  /** Calls the listener when the exchange is cancelled. Returns a function that removes it. */
   onCancel(listener: () => void): () => void {
     this.listeners.add(listener);
     return () => this.listeners.delete(listener);
--- a/src/owner/crashDetector.ts
+++ b/src/owner/crashDetector.ts
@@ -1,7 +1,7 @@
 /**
- * Tells a crash of the back end from a lost connection, and which requests were under way when it
- * crashed. Nothing listens any more at the address of a back end that has crashed; one that has merely
- * reset a connection still does.
+ * Distinguishes a crash of the back end from a lost connection, and finds the requests that were in
+ * flight when it crashed. After a crash nothing listens at the back end's address any more; a back
+ * end that has only reset a connection still listens.
  */
 
 import net from 'node:net';
@@ -11,129 +11,139 @@
 import { type BackEndIncarnation, isSameIncarnation } from '../registry/backEndIncarnation.js';
 import type { OwnerOutcome } from './owner.js';
 
-/** A port on the same machine takes or refuses a connection within this time, in milliseconds. */
-const CONNECT_LIMIT_MS = 100;
+/** A port on the same machine accepts or refuses a connection within this time, in milliseconds. */
+const CONNECT_TIMEOUT_MS = 100;
 
 /**
- * A run that was given up is under suspicion for so long, in milliseconds: back ends may work on after
- * their caller has left, most of them for less than a second.
+ * An ended run is a possible cause of a crash for this time, in milliseconds: back ends may go on
+ * working after their caller has left, most of them for less than a second.
  */
-const LEFT_BEHIND_MS = 1_000;
+const ENDED_RUN_MS = 1_000;
 
 /**
- * A back end that is back sooner than its port was looked at shows by a new life within this time, in
- * milliseconds, that it had crashed, be it under the same id: heartbeats come every second or two.
+ * A back end may restart before its port is checked. A new incarnation within this time, in
+ * milliseconds, after a lost run then shows the crash, even if its id is the same: heartbeats
+ * arrive every one or two seconds.
  */
-const LOST_MS = 5_000;
+const LOST_RUN_MS = 5_000;
 
-/** What is needed of the owner. */
+/** The parts of the owner that the detector uses. */
 export interface CrashDetectorContext {
   readonly clock: Clock;
-  /** A life has ended in a crash while these requests, and no others, were under way. */
-  readonly onCrash: (life: BackEndIncarnation, underWay: readonly InFlightRequest[]) => void;
-  /** True if something listens at an address; for tests. */
+  /** An incarnation has crashed while exactly these requests were in flight. */
+  readonly onCrash: (incarnation: BackEndIncarnation, inFlight: readonly InFlightRequest[]) => void;
+  /** Resolves with true if something listens at an address. Replaced in tests. */
   readonly isListening?: (address: string) => Promise<boolean>;
 }
 
-/** A run that a back end may have begun. */
+/** A run that the back end may have started. */
 export interface MonitoredRun {
-  /** The life that is known when the run begins. */
+  /** The incarnation that is known when the run begins. */
   readonly incarnation: BackEndIncarnation;
   readonly address: string;
   readonly request: InFlightRequest;
 }
 
-/** A run that has ended without an answer. */
+/** A run that has ended without an answer and may have been executed. */
 interface EndedRun extends MonitoredRun {
-  /** Steady time in milliseconds since which nobody waits for it. */
+  /** Steady time in milliseconds at which the run ended. */
   readonly endedAt: number;
-  /** True if the connection was lost, false if the caller gave it up. */
+  /** False if the caller cancelled the run; true if it ended in any other way without an answer. */
   readonly isLost: boolean;
 }
 
 export interface CrashDetector {
-  /** A request is about to be sent. */
+  /** Records a run whose request is about to be sent. */
   begin(run: MonitoredRun): void;
   /**
-   * The run has ended in this way. Resolves, within the limit of one connection, with true if nothing
-   * listens any more at the back end's address.
+   * Records how a run ended. Resolves within one connect timeout, with true if nothing listens at
+   * the back end's address any more.
    */
   end(run: MonitoredRun, outcome: OwnerOutcome): Promise<boolean>;
-  /** This life is there: the one before has crashed if runs were lost with it lately. */
-  noteIncarnation(life: BackEndIncarnation): void;
+  /** Records the present incarnation. If a previous one lost runs recently, it has crashed. */
+  noteIncarnation(incarnation: BackEndIncarnation): void;
 }
 
 export function createCrashDetector(context: CrashDetectorContext): CrashDetector {
   const { clock, onCrash, isListening = listensAt } = context;
-  /** Steady times in milliseconds at which the runs that go on began. */
-  const underWay = new Map<MonitoredRun, number>();
-  /** Without an answer, the oldest first. */
+  /** Runs in flight, with the steady times in milliseconds at which they began. */
+  const begunAtByRun = new Map<MonitoredRun, number>();
+  /** Recent runs without an answer, the oldest first. */
   let ended: EndedRun[] = [];
   let crashed: BackEndIncarnation | undefined;
-  let look: Promise<boolean> | undefined;
+  let portCheck: Promise<boolean> | undefined;
 
-  /** What began after `begunUntil` ran on a later life, though it was not yet known. */
-  const noteCrash = (life: BackEndIncarnation, begunUntil = Number.POSITIVE_INFINITY): void => {
-    if (crashed && isSameIncarnation(life, crashed)) {
+  /**
+   * Reports the crash of an incarnation once. Runs that began after `begunUntil` are left out, as
+   * they ran on a later incarnation that was not yet known.
+   */
+  const noteCrash = (
+    incarnation: BackEndIncarnation,
+    begunUntil = Number.POSITIVE_INFINITY,
+  ): void => {
+    if (crashed && isSameIncarnation(incarnation, crashed)) {
       return;
     }
-    crashed = life;
-    const gone = ended.filter((run) => isSameIncarnation(run.incarnation, life));
-    ended = ended.filter((run) => !gone.includes(run));
-    const crashedAt = gone.at(-1)?.endedAt ?? clock.now();
-    const atTheEnd = gone.filter(({ endedAt }) => crashedAt - endedAt < LEFT_BEHIND_MS);
-    const running = [...underWay]
-      .filter(([run, begunAt]) => isSameIncarnation(run.incarnation, life) && begunAt <= begunUntil)
+    crashed = incarnation;
+    const endedRuns = ended.filter((run) => isSameIncarnation(run.incarnation, incarnation));
+    ended = ended.filter((run) => !endedRuns.includes(run));
+    const crashedAt = endedRuns.at(-1)?.endedAt ?? clock.now();
+    const recentlyEnded = endedRuns.filter(({ endedAt }) => crashedAt - endedAt < ENDED_RUN_MS);
+    const inFlight = [...begunAtByRun]
+      .filter(
+        ([run, begunAt]) =>
+          isSameIncarnation(run.incarnation, incarnation) && begunAt <= begunUntil,
+      )
       .map(([run]) => run);
     onCrash(
-      life,
-      [...atTheEnd, ...running].map(({ request }) => request),
+      incarnation,
+      [...recentlyEnded, ...inFlight].map(({ request }) => request),
     );
   };
 
-  /** One look for all the runs that end at the same moment. */
-  const lookAt = ({ incarnation, address }: MonitoredRun): Promise<boolean> => {
-    look ??= isListening(address).then((listening) => {
-      look = undefined;
+  /** Runs that end at the same moment share one check of the port. */
+  const isAddressClosed = ({ incarnation, address }: MonitoredRun): Promise<boolean> => {
+    portCheck ??= isListening(address).then((listening) => {
+      portCheck = undefined;
       if (!listening) {
         noteCrash(incarnation);
       }
       return !listening;
     });
-    return look;
+    return portCheck;
   };
 
   return {
     begin: (run) => {
-      underWay.set(run, clock.now());
+      begunAtByRun.set(run, clock.now());
     },
     end: async (run, outcome) => {
-      underWay.delete(run);
+      begunAtByRun.delete(run);
       if (outcome.kind !== 'unknown') {
         return false;
       }
       const now = clock.now();
       const isLost = outcome.reason !== 'cancelled';
-      ended = ended.filter(({ endedAt }) => now - endedAt < LOST_MS);
+      ended = ended.filter(({ endedAt }) => now - endedAt < LOST_RUN_MS);
       ended.push({ ...run, endedAt: now, isLost });
-      return isLost && lookAt(run);
+      return isLost && isAddressClosed(run);
     },
-    noteIncarnation: (life) => {
+    noteIncarnation: (incarnation) => {
       const now = clock.now();
-      const lost = ended.findLast(({ isLost, endedAt }) => isLost && now - endedAt < LOST_MS);
-      // A birth that was not told when the run began is that of the life before: this one is new.
-      if (lost && !isOfLife(lost, life)) {
+      const lost = ended.findLast(({ isLost, endedAt }) => isLost && now - endedAt < LOST_RUN_MS);
+      // If `bornAt` was unknown when the run began, the run belongs to a previous incarnation.
+      if (lost && !isOfIncarnation(lost, incarnation)) {
         noteCrash(lost.incarnation, lost.endedAt);
       }
-      if (crashed && isSameIncarnation(crashed, life)) {
+      if (crashed && isSameIncarnation(crashed, incarnation)) {
         crashed = undefined;
       }
     },
   };
 }
 
-function isOfLife(run: MonitoredRun, life: BackEndIncarnation): boolean {
-  return run.incarnation.instance === life.instance && run.incarnation.bornAt === life.bornAt;
+function isOfIncarnation(run: MonitoredRun, other: BackEndIncarnation): boolean {
+  return run.incarnation.instance === other.instance && run.incarnation.bornAt === other.bornAt;
 }
 
 function listensAt(address: string): Promise<boolean> {
@@ -144,8 +154,9 @@
       socket.destroy();
       resolve(listening);
     };
-    // What neither takes nor refuses a connection is slow, not gone.
-    const timer = setTimeout(() => done(true), CONNECT_LIMIT_MS);
+    // A port that neither accepts nor refuses a connection belongs to a slow back end, not a
+    // crashed one.
+    const timer = setTimeout(() => done(true), CONNECT_TIMEOUT_MS);
     socket.on('connect', () => done(true));
     socket.on('error', (error: NodeJS.ErrnoException) => done(error.code !== 'ECONNREFUSED'));
   });
--- a/src/owner/failureShare.ts
+++ b/src/owner/failureShare.ts
@@ -1,29 +1,31 @@
-/** How much of what a back end gets it fails, as a moving average. */
+/** Measures the share of tasks that a back end fails, as a moving average. */
 import type { OwnerOutcome } from './owner.js';
 
 /** Weight of the newest outcome. */
 const WEIGHT = 0.1;
 
-/** What an answer 5xx counts: the back end failed, but perhaps over a call of its own. */
-const FAILED_ANSWER = 0.5;
+/**
+ * Failure value of a 5xx answer: the back end failed, but perhaps because of a call that it made.
+ */
+const FAILED_ANSWER_VALUE = 0.5;
 
 const FIRST_FAILED_STATUS = 500;
 
-/** A cancelled task counts as failed when it took this many times what is usual. */
+/** A cancelled task counts as failed if it took more than this many times the usual time. */
 const SILENT_FACTOR = 3;
 
-/** And at least this much longer than usual, in milliseconds. */
+/** Margin, in milliseconds, that is added to this multiple of the usual time. */
 const SILENT_MARGIN_MS = 50;
 
-/** Watches the outcomes of one back end. */
+/** Measures the outcomes of one back end. */
 export interface FailureShare {
   /** From 0 (none fails) to 1. */
   readonly value: number;
-  /** A task that was sent has ended; times in milliseconds. */
+  /** Records the outcome of a task that was sent. Times are in milliseconds. */
   note(outcome: OwnerOutcome, tookMs: number, usualMs: number): void;
-  /** A task has had no answer for so long that none is likely. */
+  /** Records a task that has had no answer for so long that none is likely. */
   noteOverdue(): void;
-  /** Another back end is there. */
+  /** Sets the share to 0. Called for a new incarnation. */
   reset(): void;
 }
 
@@ -34,9 +36,9 @@
       return share;
     },
     note: (outcome, tookMs, usualMs) => {
-      const failed = failureOf(outcome, tookMs, usualMs);
-      if (failed !== undefined) {
-        share += (failed - share) * WEIGHT;
+      const failure = failureValueOf(outcome, tookMs, usualMs);
+      if (failure !== undefined) {
+        share += (failure - share) * WEIGHT;
       }
     },
     noteOverdue: () => {
@@ -48,10 +50,14 @@
   };
 }
 
-/** From 0 to 1; undefined when the outcome tells nothing of the back end. */
-function failureOf(outcome: OwnerOutcome, tookMs: number, usualMs: number): number | undefined {
+/** Failure value from 0 to 1. Undefined if the outcome says nothing about the back end. */
+function failureValueOf(
+  outcome: OwnerOutcome,
+  tookMs: number,
+  usualMs: number,
+): number | undefined {
   if (outcome.kind === 'answer') {
-    return outcome.status >= FIRST_FAILED_STATUS ? FAILED_ANSWER : 0;
+    return outcome.status >= FIRST_FAILED_STATUS ? FAILED_ANSWER_VALUE : 0;
   }
   if (outcome.reason === 'cancelled') {
     return tookMs > usualMs * SILENT_FACTOR + SILENT_MARGIN_MS ? 1 : undefined;
--- a/src/owner/hangDetector.ts
+++ b/src/owner/hangDetector.ts
@@ -1,97 +1,102 @@
 /**
- * Tells back ends that never answer a part of what they get from back ends that are merely slow. A run that
- * has had no word for several times the usual, while a whole round of runs that were sent later has been
- * answered, is overdue; so is one at a back end that answers nobody. One that is overdue at a back end which
- * has left others without an answer lately is likely to hang until its deadline: whoever sent it should ask
- * elsewhere, if it may be repeated.
+ * Distinguishes back ends that never answer some of their requests from back ends that are only
+ * slow. A run is overdue if it has had no answer for several times the usual time, while as many
+ * later runs as the back end has slots have been answered. A run is also overdue if the back end
+ * has answered no run for a longer time. An overdue run counts as hung if the back end has recently
+ * left other runs unanswered: it is likely to hang until its deadline, so its sender should retry
+ * it elsewhere if it may be repeated.
  *
- * State and rules without timers: who watches a run asks again when it is told to.
+ * The detector has no timers: the caller checks a run again after `recheckMs`.
  */
 
 /**
- * A run is looked at after this many times the usual time, and so many milliseconds. Work takes up to seven
- * times the usual now and then; a look costs nothing unless others have overtaken the run.
+ * A run is checked after this multiple of the usual time plus a margin in milliseconds. Work
+ * occasionally takes up to seven times the usual time, but a check has no effect unless later runs
+ * have overtaken the run or the back end is silent.
  */
 const OVERDUE_FACTOR = 3;
 const OVERDUE_MARGIN_MS = 50;
 
-/** A back end that has answered nobody for this many times the usual is silent, not slow. */
+/** A back end that has answered no run for this multiple of the usual time is silent, not slow. */
 const SILENT_FACTOR = 6;
 
-/** Weight of the newest run in the share of runs that hang. */
+/** Weight of the newest run in the share of runs that become overdue. */
 const WEIGHT = 0.1;
 
-/** From this share on a run that is overdue counts as hung: twice what long work alone brings about. */
-const HANGING_SHARE = 0.15;
+/**
+ * An overdue run counts as hung from this share of overdue runs: twice the share that long work
+ * causes.
+ */
+const MIN_HANG_SHARE = 0.15;
 
-/** Answers that are remembered: more runs than that need not overtake one. */
-const REMEMBERED_ANSWERS = 16;
+/** Number of answers that are kept: this many later runs suffice to overtake a run. */
+const KEPT_ANSWERS = 16;
 
-/** A run that the back end works on. */
+/** A run in flight at the back end. */
 export interface PendingRun {
-  /** Steady time in milliseconds at which it was sent. */
+  /** Steady time in milliseconds at which the run was sent. */
   readonly sentAt: number;
-  /** Its place among all runs, in the order in which they were sent. */
+  /** Number of the run, in the order in which runs were sent. */
   readonly sequence: number;
   isOverdue: boolean;
 }
 
-/** What is to be done about a run that was looked at. */
+/** Result of a check of one run. */
 export interface HangCheckResult {
-  /** True the first time that a run is found to be overdue. */
+  /** True at the first check that finds the run overdue. */
   readonly isNewlyOverdue: boolean;
   readonly isHung: boolean;
-  /** Milliseconds until it is to be looked at again; undefined when nothing new can come of that. */
+  /** Milliseconds until the next check. Undefined if no further check is needed. */
   readonly recheckMs: number | undefined;
 }
 
 export interface HangDetector {
   begin(now: number): PendingRun;
-  /** Milliseconds after which a run is first looked at, by the usual time of its route. */
+  /** Milliseconds until the first check of a run, from the usual time of its route. */
   firstCheckMs(usualMs: number): number;
-  check(work: PendingRun, usualMs: number, slots: number, now: number): HangCheckResult;
-  /** The run has ended, with an answer of the back end or without. */
-  end(work: PendingRun, isAnswered: boolean, now: number): void;
-  /** Another back end is there. */
+  check(run: PendingRun, usualMs: number, slots: number, now: number): HangCheckResult;
+  /** Records the end of a run, with or without an answer of the back end. */
+  end(run: PendingRun, isAnswered: boolean, now: number): void;
+  /** Discards answers and the share of overdue runs. Called for a new incarnation. */
   reset(): void;
 }
 
 export function createHangDetector(): HangDetector {
-  let sent = 0;
-  /** Places of the runs that were answered last. */
+  let sentCount = 0;
+  /** Numbers of the runs that were answered last. */
   let answered: number[] = [];
   let answeredAt = Number.NEGATIVE_INFINITY;
-  /** Share of the runs that hang, as a moving average. */
-  let share = 0;
+  /** Share of the runs that become overdue, as a moving average. */
+  let overdueShare = 0;
 
-  const note = (hung: 0 | 1): void => {
-    share += (hung - share) * WEIGHT;
+  const note = (overdue: 0 | 1): void => {
+    overdueShare += (overdue - overdueShare) * WEIGHT;
   };
 
   const firstCheckMs = (usualMs: number): number => usualMs * OVERDUE_FACTOR + OVERDUE_MARGIN_MS;
 
   return {
     begin: (now) => {
-      sent += 1;
-      return { sentAt: now, sequence: sent, isOverdue: false };
+      sentCount += 1;
+      return { sentAt: now, sequence: sentCount, isOverdue: false };
     },
     firstCheckMs,
-    check: (work, usualMs, slots, now) => {
-      const overtakers = answered.filter((sequence) => sequence > work.sequence);
-      const isOvertaken = overtakers.length >= Math.min(slots, REMEMBERED_ANSWERS);
-      const quietMs = now - Math.max(work.sentAt, answeredAt);
-      const isSilent = quietMs >= usualMs * SILENT_FACTOR + OVERDUE_MARGIN_MS;
-      const isNewlyOverdue = !work.isOverdue && (isOvertaken || isSilent);
+    check: (run, usualMs, slots, now) => {
+      const overtakers = answered.filter((sequence) => sequence > run.sequence);
+      const isOvertaken = overtakers.length >= Math.min(slots, KEPT_ANSWERS);
+      const unansweredMs = now - Math.max(run.sentAt, answeredAt);
+      const isSilent = unansweredMs >= usualMs * SILENT_FACTOR + OVERDUE_MARGIN_MS;
+      const isNewlyOverdue = !run.isOverdue && (isOvertaken || isSilent);
       if (isNewlyOverdue) {
-        work.isOverdue = true;
+        run.isOverdue = true;
         note(1);
       }
-      const isHung = work.isOverdue && share >= HANGING_SHARE;
+      const isHung = run.isOverdue && overdueShare >= MIN_HANG_SHARE;
       return { isNewlyOverdue, isHung, recheckMs: isHung ? undefined : firstCheckMs(usualMs) };
     },
-    end: (work, isAnswered, now) => {
+    end: (run, isAnswered, now) => {
       if (isAnswered) {
-        answered = [...answered.slice(1 - REMEMBERED_ANSWERS), work.sequence];
+        answered = [...answered.slice(1 - KEPT_ANSWERS), run.sequence];
         answeredAt = now;
         note(0);
       }
@@ -99,7 +104,7 @@
     reset: () => {
       answered = [];
       answeredAt = Number.NEGATIVE_INFINITY;
-      share = 0;
+      overdueShare = 0;
     },
   };
 }
--- a/src/owner/tenantFairness.ts
+++ b/src/owner/tenantFairness.ts
@@ -1,7 +1,7 @@
 /**
  * Finds tenants that have recently used more than their share of a full back end. Their tasks wait
  * behind those of other tenants. All other tasks go in the order of arrival, so that a shortage
- * affects totalUsage tenants equally. Calls of back ends have no tenant and are never over a share.
+ * affects all tenants equally. Calls of back ends have no tenant and are never over a share.
  */
 
 /**
