--- a/src/owner/header-names.ts
+++ b/src/owner/header-names.ts
@@ -1,30 +1,30 @@
-/** Names of the header fields that clients and back ends use; the deployment may rename them. */
+/** Names of the header fields that clients and back ends use. The deployment may rename them. */
 
-/** One name for each meaning; compared without regard to case. */
+/** One name per meaning. Names are compared case-insensitively. */
 export interface HeaderNames {
-  /** Identity of a client's attempt; a back end echoes it. */
+  /** Id of a client's attempt. A back end echoes it. */
   readonly requestId: string;
-  /** Time that is left, in milliseconds. */
+  /** Time until the deadline, in milliseconds. */
   readonly deadline: string;
-  /** Proof that an answer is a back end's own. */
+  /** Signature that proves that an answer comes from a back end. */
   readonly signature: string;
-  /** Incarnation that alone may run the request. */
+  /** Instance id of the only back end that may run the request. */
   readonly expectInstance: string;
-  /** Load report of a back end: running, waiting, slots. */
+  /** Load report of a back end: running, waiting, slots and optionally slowness. */
   readonly load: string;
-  /** Present when a back end did not run the request. */
+  /** Present if a back end did not run the request. */
   readonly notRun: string;
   /** Service on the machine where the request began. */
   readonly callerService: string;
-  /** Incarnation that answers a health question. */
+  /** Instance id of the back end that answers a health check. */
   readonly instance: string;
-  /** A tenant's key, from clients only. */
+  /** Key of a tenant; sent by clients only. */
   readonly apiKey: string;
-  /** Name of the tenant whose key a request carries, for back ends only. */
+  /** Name of the tenant whose key a request carries; sent to back ends only. */
   readonly tenant: string;
 }
 
-/** The product's own names. */
+/** The default names. */
 export const DEFAULT_HEADER_NAMES: HeaderNames = {
   requestId: 'X-Request-Id',
   deadline: 'Spindlepaddle-Deadline-Ms',
--- a/src/owner/healthCheck.ts
+++ b/src/owner/healthCheck.ts
@@ -1,4 +1,4 @@
-/** Asks a back end for its health: which incarnation it is and how many slots it has. */
+/** Checks a back end's health: returns its instance and its number of slots. */
 
 import http from 'node:http';
 import { endpointOf } from '../model/endpoint.js';
@@ -6,10 +6,10 @@
 import type { HeaderNames } from './header-names.js';
 import { readLoadReport } from './loadReport.js';
 
-/** An answer that takes longer, in milliseconds, counts as none. */
+/** A back end that does not answer within this time, in milliseconds, counts as not ready. */
 const TIMEOUT_MS = 600;
 
-/** Resolves with undefined unless the back end says that it is ready; never rejects. */
+/** Resolves with undefined unless the back end reports that it is ready. Never rejects. */
 export function checkHealth(
   address: string,
   path: string,
@@ -21,7 +21,10 @@
       path,
       agent: false,
     });
-    const timer = setTimeout(() => request.destroy(new Error('timed out')), TIMEOUT_MS);
+    const timer = setTimeout(
+      () => request.destroy(new Error('health check timed out')),
+      TIMEOUT_MS,
+    );
     request.on('close', () => clearTimeout(timer));
     request.on('error', () => resolve(undefined));
     request.on('response', (response) => {
--- a/src/owner/loadReport.ts
+++ b/src/owner/loadReport.ts
@@ -1,42 +1,44 @@
 /**
- * What a back end says of its load, in the answers that it gives and in its health answers: running,
- * waiting, slots and, where it tells, how long work takes now in hundredths of what is usual.
+ * Parses the load report that a back end sends with its answers and health answers: running,
+ * waiting, slots and optionally its slowness (how long work takes now, in percent of the usual
+ * time).
  */
 
-/** One report of a back end. */
+/** The load of a back end at one moment. */
 export interface LoadReport {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How long work takes now, as a multiple of what is usual; undefined when it is not told. */
+  /** How long work takes now, as a multiple of the usual time. Undefined if not reported. */
   readonly slowness: number | undefined;
 }
 
 const PERCENT = 100;
 
-/** A figure above this is no count of requests or slots. */
+/** Maximum count of requests or slots; a report with a larger count is invalid. */
 const MAX_COUNT = 1_000_000;
 
-/** Work that takes a tenth or a hundred times what is usual is more than any neighbour explains. */
+/** Plausible range of the slowness: load by other programs cannot explain values outside it. */
 const MIN_SLOWNESS = 0.1;
 const MAX_SLOWNESS = 100;
 
-/** Reads a report; undefined when it is none. A slowness that cannot be is left out of it. */
+/** Parses a report. Undefined if it is invalid. An implausible slowness is left out. */
 export function readLoadReport(text: unknown): LoadReport | undefined {
   if (typeof text !== 'string') {
     return undefined;
   }
-  const [running, waiting, slots, percent] = text.split(',').map(countOf);
+  const [running, waiting, slots, percent] = text.split(',').map(parseCount);
   if (running === undefined || waiting === undefined || slots === undefined || slots === 0) {
     return undefined;
   }
   const slowness = percent === undefined ? undefined : percent / PERCENT;
-  const isLikely = slowness !== undefined && slowness >= MIN_SLOWNESS && slowness <= MAX_SLOWNESS;
-  return { running, waiting, slots, slowness: isLikely ? slowness : undefined };
+  const isPlausible =
+    slowness !== undefined && slowness >= MIN_SLOWNESS && slowness <= MAX_SLOWNESS;
+  return { running, waiting, slots, slowness: isPlausible ? slowness : undefined };
 }
 
-/** A whole number in plain digits. */
-function countOf(text: string): number | undefined {
+/** Parses a non-negative integer in decimal digits. Undefined if it is invalid or too large. */
+function parseCount(text: string): number | undefined {
   const digits = text.trim();
   const count = /^\d{1,7}$/.test(digits) ? Number(digits) : undefined;
   return count !== undefined && count <= MAX_COUNT ? count : undefined;
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -1,4 +1,4 @@
-/** The gate to the back end on this machine: admits tasks, sends them, and reports its load. */
+/** The owner of the back end on this machine: admits tasks, sends them, and reports its load. */
 import type http from 'node:http';
 import { QuarantineStatus } from '../quarantine/crashTracker.js';
 import type { BackEnd, Heartbeat } from '../registry/back-end-registry.js';
@@ -29,16 +29,25 @@
 import { waitForSlot } from './slotWait.js';
 import { type TaskTimes, taskRecordOf } from './taskRecord.js';
 
-/** After a late or foreign answer, connections are not kept for this long, in milliseconds. */
-const DISTRUST_MS = 10_000;
+/**
+ * Time, in milliseconds, for which tasks that may not be repeated don't reuse connections after an
+ * answer to another request.
+ */
+const NO_REUSE_MS = 10_000;
 
-/** A task that is cancelled so shortly before its deadline, in milliseconds, was waited for to its end. */
+/**
+ * A task that is cancelled within this time, in milliseconds, before its deadline counts as one
+ * that was waited for until its deadline.
+ */
 const DEADLINE_SLACK_MS = 50;
 
-/** Told to a task that comes although a roll-out gives the back end nothing new: others serve it at once. */
-const FENCED_RETRY_MS = 20;
+/**
+ * Retry delay, in milliseconds, for a task that is rejected because a roll-out allows the back end
+ * no new requests: other owners can serve the task at once.
+ */
+const NO_PERMIT_RETRY_MS = 20;
 
-/** One per node. */
+/** A node has one. */
 export class LocalOwner implements Owner {
   private readonly admission: AdmissionControl;
   private readonly presence: BackEndPresence;
@@ -47,6 +56,7 @@
   private readonly observations: BackEndObservations;
   private readonly calls: MonitoredCalls;
   private stopping = false;
+  /** Steady time in milliseconds until which tasks that may not be repeated use new connections. */
   private noReuseUntil = 0;
 
   constructor(private readonly options: LocalOwnerOptions) {
@@ -54,43 +64,43 @@
     this.admission = new AdmissionControl(this.observations.times, options.tenantShare);
     this.calls = createMonitoredCalls(options);
     this.presence = new BackEndPresence(options, {
-      onNewIncarnation: (life) => this.onNewIncarnation(life),
+      onNewIncarnation: (incarnation) => this.onNewIncarnation(incarnation),
       onReady: ({ slots }) => this.admission.setSlots(slots, options.clock.now()),
       onUnavailable: () => this.admission.rejectAllWaiting(),
       onChange: (backEnd, cause) => options.onBackEnd(backEnd, cause),
     });
   }
 
-  /** What is known of the service's times stays: they are those of its requests, on this machine. */
-  private onNewIncarnation(life: BackEndIncarnation): void {
+  /** Keeps the service times: they depend on the service's requests and on this machine. */
+  private onNewIncarnation(incarnation: BackEndIncarnation): void {
     this.observations.reset();
     this.connections.reset();
-    this.calls.noteIncarnation(life);
+    this.calls.noteIncarnation(incarnation);
   }
 
-  /** Begins to look for the back end. */
+  /** Starts the health checks that find the back end. */
   start(): void {
     this.presence.start();
   }
 
-  /** The path of the health question may be known now. */
+  /** Checks the health if needed, as its path may be known now. */
   noteConfiguration(): void {
     this.presence.checkHealthIfNeeded();
   }
 
-  /** Turns new tasks away from now on; tasks that run go on. */
+  /** Rejects new and waiting tasks from now on. Running tasks continue. */
   stopAdmitting(): void {
     this.stopping = true;
     this.admission.rejectAllWaiting();
   }
 
-  /** Closes what is left open. */
+  /** Stops the timers and closes the connections. */
   close(): void {
     this.presence.stop();
     this.connections.close();
   }
 
-  /** True when the back end has said that it leaves. */
+  /** True if the back end has reported that it drains. */
   get isDraining(): boolean {
     return this.presence.isDraining;
   }
@@ -111,14 +121,17 @@
     };
   }
 
-  /** Takes a heartbeat; the drain it tells is fenced before this returns. False if it is not used. */
+  /**
+   * Applies a heartbeat. If it reports a drain, new tasks are rejected from before this returns.
+   * False if the heartbeat is ignored.
+   */
   heartbeat(beat: Heartbeat): boolean {
     return this.presence.heartbeat(beat);
   }
 
-  /** Takes a deregistration; it is fenced before this returns. */
-  deregister(life: BackEndIncarnation): void {
-    this.presence.deregister(life);
+  /** Applies a deregistration: new tasks are rejected from before this returns. */
+  deregister(incarnation: BackEndIncarnation): void {
+    this.presence.deregister(incarnation);
   }
 
   async run(task: OwnerTask): Promise<OwnerOutcome> {
@@ -132,17 +145,17 @@
   }
 
   private async admitAndRun(task: OwnerTask, times: TaskTimes): Promise<OwnerOutcome> {
-    const obstacle = this.rejectionReasonFor(task);
-    if (obstacle) {
-      return createRejection(obstacle);
+    const reason = this.rejectionReasonFor(task);
+    if (reason) {
+      return createRejection(reason);
     }
     const { acquirePermit = () => UNCONDITIONAL_PERMIT } = this.options;
-    const passage = acquirePermit();
-    if (!passage) {
-      return createRejection('busy', FENCED_RETRY_MS);
+    const permit = acquirePermit();
+    if (!permit) {
+      return createRejection('busy', NO_PERMIT_RETRY_MS);
     }
     const outcome = await this.admit(task, times);
-    passage.finish(outcome.kind !== 'not-run' || outcome.arrived);
+    permit.finish(outcome.kind !== 'not-run' || outcome.arrived);
     return outcome;
   }
 
@@ -157,7 +170,7 @@
       targetAt,
       deadlineAt,
       mayWait,
-      isExclusive: this.standingOf(task) === QuarantineStatus.Suspect,
+      isExclusive: this.quarantineStatusOf(task) === QuarantineStatus.Suspect,
       isCall: this.callRoutes.isCallRoute(route),
     };
     const decision = this.admission.decide(request, clock.now());
@@ -165,13 +178,13 @@
       return createRejection('busy', decision.retryAfterMs);
     }
     if (decision.kind === 'wait') {
-      const refused = await waitForSlot(task, request, {
+      const rejection = await waitForSlot(task, request, {
         ...this.options,
         admission: this.admission,
         rejectionReason: () => this.rejectionReason(),
       });
-      if (refused) {
-        return refused;
+      if (rejection) {
+        return rejection;
       }
     } else {
       this.admission.noteStarted(request, clock.now());
@@ -179,7 +192,7 @@
     return this.runAdmitted(task, request, times);
   }
 
-  private standingOf(task: OwnerTask): QuarantineStatus {
+  private quarantineStatusOf(task: OwnerTask): QuarantineStatus {
     const { ledger, clock } = this.options;
     return ledger.statusOf(crashKeyOf(task), clock.now());
   }
@@ -196,9 +209,9 @@
     try {
       task.onProgress('admitted');
       const body = await task.loadBody();
-      const obstacle = this.rejectionReasonAfterAdmission(task, request);
-      if (obstacle) {
-        outcome = createRejection(obstacle);
+      const reason = this.rejectionReasonAfterAdmission(task, request);
+      if (reason) {
+        outcome = createRejection(reason);
         return outcome;
       }
       times.sentAt = clock.now();
@@ -206,11 +219,11 @@
       outcome = await this.send(task, body);
       return outcome;
     } catch {
-      // The body broke off before anything was sent to the back end.
+      // The body ended early, before anything was sent to the back end.
       return outcome;
     } finally {
-      const observed = run?.end(outcome);
-      this.admission.noteFinished(request, observed?.serviceMs, clock.now(), observed?.slowness);
+      const result = run?.end(outcome);
+      this.admission.noteFinished(request, result?.serviceMs, clock.now(), result?.slowness);
     }
   }
 
@@ -228,7 +241,7 @@
         remainingMs: task.deadlineAt - clock.now(),
       },
     );
-    // Other programs on its machine are not the fault of its version.
+    // The slowness is divided out: other programs on the machine don't count against the version.
     const tookMs = (clock.now() - sentAt) / Math.max(1, this.observations.slowness);
     this.noteRun({ task, backEnd, outcome, tookMs });
     if (load) {
@@ -241,7 +254,7 @@
       this.connections.closeIdle();
     }
     if (outcome.kind === 'unknown' && outcome.reason === 'foreign-answer') {
-      this.noReuseUntil = clock.now() + DISTRUST_MS;
+      this.noReuseUntil = clock.now() + NO_REUSE_MS;
     }
     return outcome;
   }
@@ -254,17 +267,17 @@
     }
   }
 
-  /** What may not be repeated gets a connection of its own while late answers are about. */
+  /** For a while after a foreign answer, tasks that may not be repeated get a new connection. */
   private agentFor(task: OwnerTask): http.Agent {
     const mayReuse = task.repeatable || this.options.clock.now() >= this.noReuseUntil;
     return this.connections.agentFor(mayReuse);
   }
 
   private rejectionReasonFor(task: OwnerTask): NotRunReason | undefined {
-    return this.rejectionReason() ?? this.mismatch(task);
+    return this.rejectionReason() ?? this.taskRejectionReason(task);
   }
 
-  /** A task that was admitted may still begin for a while after a drain was acknowledged. */
+  /** An admitted task may still start for a while after a drain was acknowledged. */
   private rejectionReasonAfterAdmission(
     task: OwnerTask,
     { isExclusive }: AdmissionRequest,
@@ -272,17 +285,17 @@
     if (task.cancellation.cancelled) {
       return 'cancelled';
     }
-    if (this.standingOf(task) === QuarantineStatus.Suspect && !isExclusive) {
+    if (this.quarantineStatusOf(task) === QuarantineStatus.Suspect && !isExclusive) {
       return 'suspect';
     }
-    return this.presence.sendRejectionReason() ?? this.mismatch(task);
+    return this.presence.sendRejectionReason() ?? this.taskRejectionReason(task);
   }
 
-  private mismatch(task: OwnerTask): NotRunReason | undefined {
+  private taskRejectionReason(task: OwnerTask): NotRunReason | undefined {
     if (this.presence.backEnd?.service !== task.service) {
       return 'other-service';
     }
-    if (this.standingOf(task) === QuarantineStatus.Quarantined) {
+    if (this.quarantineStatusOf(task) === QuarantineStatus.Quarantined) {
       return 'quarantined';
     }
     return this.options.clock.now() >= task.deadlineAt ? 'expired' : undefined;
--- a/src/owner/localOwnerOptions.ts
+++ b/src/owner/localOwnerOptions.ts
@@ -1,4 +1,4 @@
-/** What the owner on this machine is given at its start. */
+/** Options of the owner on this machine. */
 import type { BackEnd } from '../registry/back-end-registry.js';
 import type { BackEndRun } from '../rollout/runCounts.js';
 import type { RunPermit } from '../rollout/runLimiter.js';
@@ -12,12 +12,20 @@
   extends BackEndPresenceOptions,
     MonitoredCallsContext,
     BackEndObservationsContext {
+  /** The state of the back end has changed. */
   readonly onBackEnd: (backEnd: BackEnd | undefined, cause: string) => void;
+  /** A task has ended or has been rejected. */
   readonly onTask: (record: TaskRecord) => void;
-  /** The back end has ended a request. */
+  /** A run has ended with a result for the back end's version. */
   readonly onRun?: (run: BackEndRun) => void;
-  /** A tenant's fair share of a full back end, from 0 to 1: its rate limit over the sum of all tenants' limits. */
+  /**
+   * A tenant's fair share of a full back end, from 0 to 1: its rate limit divided by the sum of all
+   * tenants' limits.
+   */
   readonly tenantShare?: TenantShare;
-  /** Lets a request through to the back end; undefined while a roll-out gives it nothing new. */
+  /**
+   * Acquires the roll-out's permit for a request. Undefined while the roll-out allows the back end
+   * no new requests.
+   */
   readonly acquirePermit?: () => RunPermit | undefined;
 }
--- a/src/owner/message-body.ts
+++ b/src/owner/message-body.ts
@@ -1,15 +1,15 @@
-/** Bodies of requests and answers: whole in memory when short, streamed when long. */
+/** Bodies of requests and answers: short ones are buffered in memory, long ones are streamed. */
 import type { IncomingMessage } from 'node:http';
 import type { Readable, Writable } from 'node:stream';
 import { pipeline } from 'node:stream/promises';
 
-/** A body that was read whole: it can be sent more than once. */
+/** A body that was read completely. It can be sent more than once. */
 export interface BytesBody {
   readonly kind: 'bytes';
   readonly bytes: Buffer;
 }
 
-/** A long body: its beginning and the stream that holds the rest. It can be sent once. */
+/** A long body: the beginning, and a stream of the rest. It can be sent once. */
 export interface StreamBody {
   readonly kind: 'stream';
   readonly head: readonly Buffer[];
@@ -22,8 +22,8 @@
 export const EMPTY_BODY: BytesBody = { kind: 'bytes', bytes: Buffer.alloc(0) };
 
 /**
- * Reads a message's body. Resolves with its bytes when it ends within
- * `limitBytes`, else with a stream; rejects when it breaks off before that.
+ * Reads a message's body. Resolves with its bytes if it ends within
+ * `limitBytes`, otherwise with a stream. Rejects if it ends early before that.
  */
 export function collectBody(source: IncomingMessage, limitBytes: number): Promise<MessageBody> {
   return new Promise((resolve, reject) => {
@@ -32,8 +32,8 @@
     const release = () => {
       source.off('data', onData);
       source.off('end', onEnd);
-      source.off('error', onBroken);
-      source.off('close', onBroken);
+      source.off('error', onEarlyEnd);
+      source.off('close', onEarlyEnd);
     };
     const onData = (chunk: Buffer) => {
       chunks.push(chunk);
@@ -52,23 +52,23 @@
           bytes: chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks, size),
         });
       } else {
-        reject(new Error('the message broke off'));
+        reject(new Error('message ended before its body was complete'));
       }
     };
-    const onBroken = () => {
+    const onEarlyEnd = () => {
       release();
-      // A later error of a broken stream has no other listener.
+      // An error that the failed stream emits later would have no listener.
       source.on('error', () => {});
-      reject(new Error('the message broke off'));
+      reject(new Error('message ended before its body was complete'));
     };
     source.on('data', onData);
     source.on('end', onEnd);
-    source.on('error', onBroken);
-    source.on('close', onBroken);
+    source.on('error', onEarlyEnd);
+    source.on('close', onEarlyEnd);
   });
 }
 
-/** Writes a body and ends the target. Rejects when either side breaks off. */
+/** Writes a body and ends the target. Rejects if either stream fails or ends early. */
 export async function sendBody(body: MessageBody, target: Writable): Promise<void> {
   if (body.kind === 'bytes') {
     target.end(body.bytes);
@@ -80,7 +80,7 @@
   await pipeline(body.rest, target);
 }
 
-/** Gives up a body that nobody will read. */
+/** Releases a body that will not be read. */
 export function discardBody(body: MessageBody): void {
   if (body.kind === 'stream') {
     body.rest.destroy();
--- a/src/owner/monitoredCalls.ts
+++ b/src/owner/monitoredCalls.ts
@@ -1,4 +1,4 @@
-/** Calls to the back end whose ends tell which requests crash it, and which do not. */
+/** Calls the back end and records which requests crash it and which complete. */
 import type { Clock } from '../model/clock.js';
 import type { CrashAnnouncement, CrashTracker } from '../quarantine/crashTracker.js';
 import { type BackEndIncarnation, incarnationName } from '../registry/backEndIncarnation.js';
@@ -7,34 +7,36 @@
 import type { MessageBody } from './message-body.js';
 import { crashKeyOf, type OwnerTask } from './owner.js';
 
-/** What is needed of the owner. */
+/** The parts of the owner that the calls use. */
 export interface MonitoredCallsContext {
   readonly clock: Clock;
   readonly ledger: CrashTracker;
   /** The back end has crashed; called before `onCrashAnnouncement`. */
-  readonly onCrash: (life: BackEndIncarnation, news: CrashAnnouncement) => void;
-  /** The back end has crashed, or a suspect has run to its end: other nodes are to know. */
-  readonly onCrashAnnouncement: (news: CrashAnnouncement) => void;
+  readonly onCrash: (incarnation: BackEndIncarnation, announcement: CrashAnnouncement) => void;
+  /**
+   * Announces to other nodes that the back end has crashed or that a suspect request has completed.
+   */
+  readonly onCrashAnnouncement: (announcement: CrashAnnouncement) => void;
 }
 
 export interface MonitoredCalls {
   /**
-   * As `callBackEnd`; a crash is known to the ledger, and on its way to other nodes, before this
-   * resolves: the task may be offered to one of them next.
+   * Works like `callBackEnd`. Before this resolves, a crash is recorded and its announcement is on
+   * the way to other nodes, since the task may be offered to one of them next.
    */
   call(task: OwnerTask, body: MessageBody, options: BackEndCallOptions): Promise<BackEndCallResult>;
-  /** This life is there; the one before has ended. */
-  noteIncarnation(life: BackEndIncarnation): void;
+  /** Records the present incarnation. The previous one has ended. */
+  noteIncarnation(incarnation: BackEndIncarnation): void;
 }
 
 export function createMonitoredCalls(context: MonitoredCallsContext): MonitoredCalls {
   const { clock, ledger, onCrash, onCrashAnnouncement } = context;
-  const crashes = createCrashDetector({
+  const crashDetector = createCrashDetector({
     clock,
-    onCrash: (life, underWay) => {
-      const news = ledger.noteCrash(incarnationName(life), underWay, clock.now());
-      onCrash(life, news);
-      onCrashAnnouncement(news);
+    onCrash: (incarnation, inFlight) => {
+      const announcement = ledger.noteCrash(incarnationName(incarnation), inFlight, clock.now());
+      onCrash(incarnation, announcement);
+      onCrashAnnouncement(announcement);
     },
   });
   return {
@@ -47,16 +49,16 @@
         address,
         request: { ...key, hadPriorCrash },
       };
-      crashes.begin(run);
+      crashDetector.begin(run);
       const result = await callBackEnd(task, body, options);
-      const news =
+      const announcement =
         result.outcome.kind === 'answer' ? ledger.noteCompleted(key, clock.now()) : undefined;
-      if (news) {
-        onCrashAnnouncement(news);
+      if (announcement) {
+        onCrashAnnouncement(announcement);
       }
-      const hasCrashed = await crashes.end(run, result.outcome);
+      const hasCrashed = await crashDetector.end(run, result.outcome);
       return { ...result, unreachable: result.unreachable || hasCrashed };
     },
-    noteIncarnation: crashes.noteIncarnation,
+    noteIncarnation: crashDetector.noteIncarnation,
   };
 }
--- a/src/owner/owner-report.ts
+++ b/src/owner/owner-report.ts
@@ -1,42 +1,42 @@
-/** What an owner tells of itself and of its tasks. */
+/** Data that an owner provides: its state, and a record of each task. */
 
-/** One task that has left this owner, for logs and metrics. */
+/** A task that has ended or has been rejected at this owner, for logs and metrics. */
 export interface TaskRecord {
   readonly requestId: string;
   /** See `fingerprintOf`. */
   readonly fingerprint: string;
   readonly route: string;
   readonly service: string;
-  /** True if a running back end waits for the answer, as far as known. */
+  /** True if the task's route has been detected as called by running back ends. */
   readonly isCall: boolean;
   /** Kind of the outcome, with its status or reason. */
   readonly result: string;
   readonly instance: string | undefined;
   readonly queuedMs: number;
-  /** Undefined when nothing was sent to the back end. */
+  /** Undefined if nothing was sent to the back end. */
   readonly backEndMs: number | undefined;
 }
 
-/** What others may know of this owner. */
+/** State of this owner, reported to other nodes. */
 export interface OwnerReport {
   readonly service: string | undefined;
   readonly ready: boolean;
   readonly inFlight: number;
   readonly queued: number;
   readonly slots: number;
-  /** Milliseconds; undefined until the back end has finished a task. */
+  /** Mean time of a task in milliseconds. Undefined until the back end has finished one. */
   readonly meanServiceMs: number | undefined;
-  /** Share of what was sent to the back end that failed, from 0 to 1; a moving average. */
+  /** Share of the tasks sent to the back end that failed, from 0 to 1; a moving average. */
   readonly failureShare: number;
-  /** Version of the back end's software, as its heartbeats tell it; undefined before the first one. */
+  /** Version of the back end's software from its heartbeats. Undefined before the first one. */
   readonly backEndVersion: string | undefined;
   /**
-   * Start of the back end's present life in Unix milliseconds of its own clock; undefined when it does
-   * not tell. To be compared with other lives of the same back end only.
+   * Start of the back end's present incarnation, in Unix milliseconds of its own clock. Undefined
+   * if not reported. Comparable only with other incarnations of the same back end.
    */
   readonly bornAt: number | undefined;
-  /** How long work takes the back end now, as a multiple of its usual time: 1 as usual. */
+  /** How long work takes the back end now, as a multiple of its usual time. */
   readonly slowness: number;
-  /** Requests that wait in the back end itself, from all senders, by its newest word. */
+  /** Requests from all senders that wait in the back end, from its latest load report. */
   readonly waiting: number;
 }
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -1,18 +1,18 @@
 /**
- * An owner is the node beside a back end and the only gate to it. The ingress
- * hands a task to an owner, in the same process or over the network, and learns
- * exactly what is known about its fate.
+ * An owner is the node on the same machine as a back end; requests reach the back end only through
+ * it. The ingress passes a task to an owner, in the same process or over the network. The outcome
+ * says whether the task was answered, certainly has not run, or may have run.
  */
 
 import type { RequestKey } from '../quarantine/crashTracker.js';
 import type { Cancellation } from './cancellation.js';
 import type { BytesBody, MessageBody } from './message-body.js';
 
-/** A request on its way to a back end of one service. */
+/** A request for a back end of one service. */
 export interface OwnerTask {
   readonly requestId: string;
   readonly method: string;
-  /** Tells requests that are the same, see `fingerprintOf`. */
+  /** Equal for identical requests; see `fingerprintOf`. */
   readonly fingerprint: string;
   /** Path and query exactly as the client sent them. */
   readonly target: string;
@@ -22,7 +22,10 @@
   readonly route: string;
   /** Service that runs on the machine where the request began. */
   readonly callerService: string;
-  /** Name of the tenant whose key the request carries; undefined for calls, public routes and without tenants. */
+  /**
+   * Name of the tenant whose key the request carries. Undefined for calls, on public routes and if
+   * no tenants are configured.
+   */
   readonly tenant: string | undefined;
   /** 0 is the most urgent; see `priorityOf`. */
   readonly priority: number;
@@ -30,26 +33,26 @@
   readonly repeatable: boolean;
   /** Steady time in milliseconds after which nobody waits for an answer. */
   readonly deadlineAt: number;
-  /** Steady time in milliseconds until which an answer is worth most. */
+  /** Steady time in milliseconds until which an answer is in time. */
   readonly targetAt: number;
   readonly hasBody: boolean;
   /**
-   * False if the task is to be turned away unless a slot is free: it comes from a
-   * zone whose own owners are up, so waiting here would only change places.
+   * False if the task must be rejected unless a slot is free. It comes from a zone
+   * whose own owners are up, so waiting here has no advantage over waiting there.
    */
   readonly mayWait: boolean;
   readonly cancellation: Cancellation;
-  /** The body, if it is held whole and can so be sent more than once. */
+  /** The body, if it is fully buffered and so can be sent more than once. */
   readonly bufferedBody: BytesBody | undefined;
-  /** Gives the body. Called once at the most, after the task has been admitted. */
+  /** Loads the body. Called at most once, after the task has been admitted. */
   loadBody(): Promise<MessageBody>;
-  /** Called when an owner has queued or admitted the task, or is not heard of any longer. */
+  /** Called when an owner has queued or admitted the task, or when the task has become silent. */
   onProgress(stage: TaskStage): void;
 }
 
 /**
- * How far a task has come at an owner. `silent`: the owner has the task and does not say that it is
- * there, or its back end does not seem to answer; an answer may still come.
+ * Progress of a task at an owner. `silent`: the owner has the task but no longer confirms that it
+ * is up, or its back end does not seem to answer. An answer may still arrive.
  */
 export type TaskStage = 'queued' | 'admitted' | 'silent';
 
@@ -67,9 +70,12 @@
   | 'other-instance'
   | 'peer-unreachable'
   | 'peer-silent'
-  /** It has crashed back ends, and runs alone on one of them: this owner has not admitted it so. */
+  /**
+   * The request has crashed back ends and must run alone, but this owner hadn't admitted it that
+   * way.
+   */
   | 'suspect'
-  /** It has crashed a back end alone. */
+  /** The request has crashed a back end while running alone. */
   | 'quarantined';
 
 /** Why it is not known whether a task was run. */
@@ -81,7 +87,7 @@
   | 'peer-lost'
   | 'body-lost';
 
-/** A back end's whole answer, or its verified beginning when it is long. */
+/** A back end's complete answer, or its verified beginning if it is long. */
 export interface OwnerAnswer {
   readonly kind: 'answer';
   readonly status: number;
@@ -94,9 +100,9 @@
 export interface OwnerNotRun {
   readonly kind: 'not-run';
   readonly reason: NotRunReason;
-  /** True if the task reached a back end, which turned it away. */
+  /** True if the task reached a back end, which rejected it. */
   readonly arrived: boolean;
-  /** Milliseconds after which the owner expects to have room, if it knows. */
+  /** Milliseconds after which the owner expects a free slot. Undefined if it has no estimate. */
   readonly retryAfterMs?: number;
 }
 
@@ -110,15 +116,15 @@
 
 /** Runs tasks on one back end. */
 export interface Owner {
-  /** Resolves once; never rejects. */
+  /** Resolves once and never rejects. */
   run(task: OwnerTask): Promise<OwnerOutcome>;
-  /** Gives up what is kept for tasks to come. */
+  /** Releases the resources that are kept for later tasks. */
   close?(): void;
 }
 
 /**
- * What the memory of crashes knows a task by. Tenants that send the same bytes are told apart, as the back
- * end tells them apart: no tenant can have the requests of another one refused.
+ * The key of a task in the crash tracker. It includes the tenant, since the back end distinguishes
+ * tenants too: no tenant can cause the identical requests of another tenant to be refused.
  */
 export function crashKeyOf(
   task: Pick<OwnerTask, 'fingerprint' | 'callerService' | 'tenant'>,
@@ -130,7 +136,7 @@
   };
 }
 
-/** Builds the outcome for a task that was turned away before it reached a back end. */
+/** Creates the outcome for a task that was rejected before it reached a back end. */
 export function createRejection(reason: NotRunReason, retryAfterMs?: number): OwnerNotRun {
   return {
     kind: 'not-run',
--- a/src/owner/raw-headers.ts
+++ b/src/owner/raw-headers.ts
@@ -1,4 +1,6 @@
-/** Work on header fields as a flat list of names and values, in the order and case of arrival. */
+/**
+ * Functions on header fields as a flat list of names and values, in the order and case of arrival.
+ */
 
 /** Fields that concern one connection only (RFC 9110, section 7.6.1). */
 const HOP_BY_HOP: ReadonlySet<string> = new Set([
@@ -17,11 +19,12 @@
 /** Each hop frames the body itself. */
 const LENGTH_FIELD = 'content-length';
 
-/** Fields of the mesh itself never leave it and are not believed from outside. */
+/** Prefix of the mesh's internal fields. They never leave the mesh and are ignored from outside. */
 const PEER_PREFIX = 'spindlepaddle-peer-';
 
 /**
- * Copies the fields that travel end to end. `content-length` is left out too:
+ * Copies the end-to-end fields, without those in `without` (in lower case) and
+ * those that the `connection` field lists. `content-length` is left out too, as
  * each hop frames the body itself.
  */
 export function endToEndFields(
@@ -29,25 +32,25 @@
   connection: string | undefined,
   without: ReadonlySet<string> = new Set(),
 ): string[] {
-  const named = listOf(connection);
+  const connectionFields = listedNames(connection);
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] as string;
     const key = name.toLowerCase();
-    const dropped =
+    const isDropped =
       HOP_BY_HOP.has(key) ||
       key === LENGTH_FIELD ||
       without.has(key) ||
       key.startsWith(PEER_PREFIX) ||
-      named.includes(key);
-    if (!dropped) {
+      connectionFields.includes(key);
+    if (!isDropped) {
       kept.push(name, rawHeaders[index + 1] as string);
     }
   }
   return kept;
 }
 
-/** Sets a field in place of every one of the same name. */
+/** Sets a field and removes all other fields of the same name. */
 export function withField(headers: readonly string[], name: string, value: string): string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
@@ -59,6 +62,6 @@
 }
 
 /** The names that a `connection` field lists, in lower case. */
-function listOf(value: string | undefined): string[] {
+function listedNames(value: string | undefined): string[] {
   return (value ?? '').split(',').map((item) => item.trim().toLowerCase());
 }
--- a/src/owner/runMonitor.ts
+++ b/src/owner/runMonitor.ts
@@ -1,9 +1,11 @@
-/** Looks at a run from time to time until it ends, and tells when the back end seems not to answer it. */
+/**
+ * Checks a run periodically until it ends and reports if the back end does not seem to answer it.
+ */
 import type { Clock } from '../model/clock.js';
 import type { SuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import type { HangDetector } from './hangDetector.js';
 
-/** What a watch of one run is given. */
+/** The parameters of one run's monitor. */
 export interface RunMonitorContext {
   readonly clock: Clock;
   readonly timers: SuspendAwareTimers;
@@ -11,40 +13,40 @@
   /** Milliseconds that a run of this route usually takes. */
   readonly usualMs: number;
   readonly slots: number;
-  /** The run is overdue; called once at the most. */
+  /** The run is overdue. Called at most once. */
   readonly onOverdue: () => void;
-  /** The run will hardly be answered: it is to be tried elsewhere; called once at the most. */
+  /** The run is unlikely to be answered and should be retried elsewhere. Called at most once. */
   readonly onHung: () => void;
 }
 
 export interface RunMonitor {
-  /** The run has ended; returns whether it was overdue. */
+  /** Ends the monitoring. Returns whether the run was overdue. */
   end(isAnswered: boolean): boolean;
 }
 
 export function monitorRun(context: RunMonitorContext): RunMonitor {
   const { clock, timers, hangDetector, usualMs, slots, onOverdue, onHung } = context;
-  const work = hangDetector.begin(clock.now());
+  const run = hangDetector.begin(clock.now());
 
-  const look = (): void => {
-    const finding = hangDetector.check(work, usualMs, slots, clock.now());
-    if (finding.isNewlyOverdue) {
+  const check = (): void => {
+    const result = hangDetector.check(run, usualMs, slots, clock.now());
+    if (result.isNewlyOverdue) {
       onOverdue();
     }
-    if (finding.isHung) {
+    if (result.isHung) {
       onHung();
     }
-    if (finding.recheckMs !== undefined) {
-      cancelLook = timers.set(look, finding.recheckMs);
+    if (result.recheckMs !== undefined) {
+      cancelCheck = timers.set(check, result.recheckMs);
     }
   };
-  let cancelLook = timers.set(look, hangDetector.firstCheckMs(usualMs));
+  let cancelCheck = timers.set(check, hangDetector.firstCheckMs(usualMs));
 
   return {
     end: (isAnswered) => {
-      cancelLook();
-      hangDetector.end(work, isAnswered, clock.now());
-      return work.isOverdue;
+      cancelCheck();
+      hangDetector.end(run, isAnswered, clock.now());
+      return run.isOverdue;
     },
   };
 }
--- a/src/owner/taskRecord.ts
+++ b/src/owner/taskRecord.ts
@@ -1,4 +1,4 @@
-/** What the log is told of a task that has ended at the owner. */
+/** Creates the log record of a task that has ended at the owner. */
 import type { OwnerOutcome, OwnerTask } from './owner.js';
 import type { TaskRecord } from './owner-report.js';
 
@@ -9,15 +9,16 @@
   sentAt?: number;
 }
 
-/** A task that has ended now. */
+/** A task that has ended, with the data for its record. */
 export interface EndedTask {
   readonly task: OwnerTask;
   readonly outcome: OwnerOutcome;
   readonly times: TaskTimes;
-  /** Id of the back end that was to run it. */
+  /** Instance id of the back end. Undefined if no back end is present. */
   readonly instance: string | undefined;
-  /** True if a running back end waits for the answer, as far as known. */
+  /** True if the task's route has been detected as called by running back ends. */
   readonly isCall: boolean;
+  /** Steady time in milliseconds at which the task ended. */
   readonly now: number;
 }
 
