--- a/src/owner/admissionLoad.test.ts
+++ b/src/owner/admissionLoad.test.ts
@@ -165,7 +165,7 @@
     expect(shareOf(outcomesByRoute, 'order', 'late')).toBeLessThan(0.125);
   });
 
-  it('rejects tasks for which there is no slot after a short wait', () => {
+  it('rejects tasks for which no slot becomes free within a short time', () => {
     const { waitedMs, rejected } = simulate([order, call]).get('order') as Outcomes;
     expect(rejected).toBeGreaterThan(300);
     expect(waitedMs / rejected).toBeLessThan(200);
--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -105,7 +105,7 @@
   }
 
   /**
-   * Applies a heartbeat. If it reports a drain, new tasks are rejected from before this returns.
+   * Applies a heartbeat. If it reports a drain, new tasks are already rejected when this returns.
    * Returns false and ignores the heartbeat if its service is neither that of the current back end
    * nor in the configuration: such a heartbeat must not replace a known back end.
    */
@@ -122,7 +122,7 @@
     return true;
   }
 
-  /** Applies a deregistration: new tasks are rejected from before this returns. */
+  /** Applies a deregistration: new tasks are already rejected when this returns. */
   deregister(incarnation: BackEndIncarnation): void {
     this.registry.deregister(incarnation);
   }
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -122,14 +122,14 @@
   }
 
   /**
-   * Applies a heartbeat. If it reports a drain, new tasks are rejected from before this returns.
+   * Applies a heartbeat. If it reports a drain, new tasks are already rejected when this returns.
    * False if the heartbeat is ignored.
    */
   heartbeat(beat: Heartbeat): boolean {
     return this.presence.heartbeat(beat);
   }
 
-  /** Applies a deregistration: new tasks are rejected from before this returns. */
+  /** Applies a deregistration: new tasks are already rejected when this returns. */
   deregister(incarnation: BackEndIncarnation): void {
     this.presence.deregister(incarnation);
   }
