--- a/src/owner/admissionScheduling.test.ts
+++ b/src/owner/admissionScheduling.test.ts
@@ -157,7 +157,7 @@
     return owner;
   }
 
-  it('displaces the last task of a tenant over its share only for a tenant within its share', () => {
+  it('displaces a tenant over its share only for a tenant within its share', () => {
     const { admission, events } = overusedOwner();
     for (let index = 0; index < 8; index += 1) {
       admission.enqueue(waiterOf(request('a'), events, `a${index}`));
--- a/src/owner/back-end-call.test.ts
+++ b/src/owner/back-end-call.test.ts
@@ -76,7 +76,7 @@
     expect(outcome).toMatchObject({ kind: 'answer', status: 200 });
   });
 
-  it('does not accept an answer without a length if a reset comes with its last bytes', async () => {
+  it('does not accept an answer without a length that ends with a reset', async () => {
     const address = await backEnd((socket) => {
       socket.write(`HTTP/1.1 200 OK\r\n${SIGNED}\r\npart`);
       socket.resetAndDestroy();
@@ -131,7 +131,7 @@
     expect(unreachable).toBe(true);
   });
 
-  it('sends the target, the instance id, the caller service and the time to the deadline', async () => {
+  it('sends the target, instance id, caller service and remaining time unchanged', async () => {
     let head = '';
     const address = await backEnd((socket, received) => {
       head = received;
--- a/src/owner/callScheduler.test.ts
+++ b/src/owner/callScheduler.test.ts
@@ -41,7 +41,7 @@
     expect(afterCalls(4).next([call], context)).toBe(call);
   });
 
-  it('chooses a client after three calls if it has waited half of the time that it can wait', () => {
+  it('chooses a client after three calls if half of its possible wait is over', () => {
     const call = queued('call', { isCall: true });
     const client = queued('client');
     const manySlots = { ...context, slots: 40 };
--- a/src/owner/crashDetector.test.ts
+++ b/src/owner/crashDetector.test.ts
@@ -39,7 +39,7 @@
 }
 
 describe('createCrashDetector', () => {
-  it('reports all requests in flight, with one port check, if nothing listens any more', async () => {
+  it('reports all requests in flight after one port check if nothing listens', async () => {
     const { state, crashes, detector, run } = createTestDetector();
     const [first, second] = [run('a'), run('b'), run('c')];
     state.isListening = false;
