--- a/src/rollout/exposureLimits.ts
+++ b/src/rollout/exposureLimits.ts
@@ -1,29 +1,29 @@
-/** The decider's account of what the target version may get: the limits of its owners, which only rise. */
+/** The limits that the leader sets for the owners of the target version. They only rise. */
 import type { EvidenceReport } from './rolloutMessages.js';
 
-/** One owner's count that may take so many requests. */
+/** The limit of requests for one count of one owner. */
 export interface OwnerLimit {
   readonly node: string;
   readonly countId: string;
   readonly limit: number;
 }
 
-/** What the owners of a version may take now. */
+/** Requests that the owners of the version may receive now. */
 export interface Allowance {
-  /** Requests that they may take besides what they have taken. */
+  /** Requests that all of them may receive in addition to those received. */
   readonly additional: number;
-  /** The most of these for any one of them: the others may come later. */
+  /** Largest part of these for a single owner: others may report later. */
   readonly additionalPerOwner: number;
-  /** What all limits that were ever given stay within. */
+  /** Upper bound of the sum of all limits ever granted. */
   readonly budget: number;
 }
 
 export interface ExposureLimits {
   /** A report of an owner with the target version. */
   addReport(report: EvidenceReport): void;
-  /** Requests that the version has got, as far as told. */
+  /** Requests that the version has received, by the reports so far. */
   readonly taken: number;
-  /** Raises the limits of these owners. */
+  /** Raises the limits of these owners within the allowance. */
   raiseLimits(nodes: ReadonlySet<string>, allowance: Allowance): void;
   /** The present limits of these owners. */
   limitsOf(nodes: ReadonlySet<string>): readonly OwnerLimit[];
@@ -37,7 +37,7 @@
 }
 
 export function createExposureLimits(): ExposureLimits {
-  /** By node and count: what was given to a count that has ended is spent. */
+  /** By node and count. A limit granted to a count that has ended stays counted as used. */
   const accounts = new Map<string, Account>();
   /** The present count of each node. */
   const present = new Map<string, Account>();
@@ -50,7 +50,7 @@
       const key = `${node} ${countId}`;
       const account = accounts.get(key) ?? { node, countId, taken: 0, limit: 0 };
       account.taken = Math.max(account.taken, taken);
-      // What another decider has given counts as well.
+      // Limits granted by another leader count as well.
       account.limit = Math.max(account.limit, limit);
       accounts.set(key, account);
       present.set(node, account);
@@ -60,17 +60,21 @@
     },
     raiseLimits: (nodes, { additional, additionalPerOwner, budget }) => {
       const owners = presentOf(nodes);
-      const given = sumOf([...accounts.values()], ({ taken, limit }) => Math.max(taken, limit));
+      const granted = sumOf([...accounts.values()], ({ taken, limit }) => Math.max(taken, limit));
       const open = sumOf(owners, ({ taken, limit }) => Math.max(0, limit - taken));
-      share(Math.floor(Math.min(additional - open, budget - given)), additionalPerOwner, owners);
+      distribute(
+        Math.floor(Math.min(additional - open, budget - granted)),
+        additionalPerOwner,
+        owners,
+      );
     },
     limitsOf: (nodes) =>
       presentOf(nodes).map(({ node, countId, limit }) => ({ node, countId, limit })),
   };
 }
 
-/** Gives requests one by one to the account that has the fewest left. */
-function share(amount: number, most: number, accounts: readonly Account[]): void {
+/** Grants requests one by one, each to the account with the fewest left. */
+function distribute(amount: number, most: number, accounts: readonly Account[]): void {
   const leftOf = ({ taken, limit }: Account) => limit - taken;
   for (let left = amount; left > 0 && accounts.length > 0; left -= 1) {
     const least = accounts.reduce((one, other) => (leftOf(other) < leftOf(one) ? other : one));
--- a/src/rollout/failureCounts.ts
+++ b/src/rollout/failureCounts.ts
@@ -1,71 +1,89 @@
 /**
- * Failures of a version since its order against what the others have shown at the same moments. Unlike a
- * sequential test it forgets nothing: it says whether a version may get more, not whether it is bad.
+ * Compares the failures of a version since its order with those of the others at the same moments.
+ * Unlike a sequential test it discards nothing: it decides whether a version may get more requests,
+ * not whether it is bad.
  */
 import { NO_OUTCOMES, type Outcomes, shareUpperBound, sumOutcomes } from './sequentialTest.js';
 
 /**
- * A version is in doubt while it shows failures that are less likely than this at the others' share: one
- * version in so many that is good is held up by chance for a while.
+ * A version is in doubt while the probability of its failures, at the others' failure share, is
+ * below this. This is also the share of good versions that chance delays for a while.
  */
-const DOUBTED_BELOW = 0.005;
+const DOUBT_PROBABILITY = 0.005;
 
-/** Share of failures that is taken for usual where the others show fewer. */
+/** Smallest usual failure share, even if the others have fewer failures. */
 const USUAL_FAILURES = 0.005;
 
-/** A single back end may be what fails: the rest clears the version by so many runs, if they show nothing odd. */
+/**
+ * If most failures are at one back end, the version's other back ends clear it with at least
+ * CLEARING_RUNS runs, unless the probability of their own failures is below ODD_PROBABILITY.
+ */
 const CLEARING_RUNS = 10;
-const ODD_BELOW = 0.15;
+const ODD_PROBABILITY = 0.15;
 
-/** A version counts as bad on a route that fails so much more there than the others. */
+/** Amount by which the failure share of a bad version exceeds that of the others on a route. */
 const WORSE_BY = 0.1;
 
-/** Routes with fewer of the requests than this together prove little: half of theirs are enough. */
+/**
+ * A route with less than RARE_SHARE of all requests can prove little. RARE_PART of its requests
+ * without a failure are enough there.
+ */
 const RARE_SHARE = 0.05;
 const RARE_PART = 0.5;
 
-/** What is reported in one span, in milliseconds, is taken for one moment, ... */
+/** Outcomes reported within one span of this many milliseconds count as simultaneous. */
 const SPAN_MS = 500;
 
-/** ... and compared with so many spans of the others on either side: they report once a second. */
-const SPANS_BESIDE = 2;
+/**
+ * Number of spans on either side whose outcomes of the others are compared as well: the others
+ * report once a second.
+ */
+const ADJACENT_SPANS = 2;
 
-/** Stands for all back ends of other versions, and for all routes. */
+/** Keys for all back ends of other versions, and for all routes. */
 const OTHERS = '';
 const ALL_ROUTES = '*';
 
-/** What has come with one report. */
+/** New outcomes of one report on one route. */
 export interface FailureReport {
-  /** Undefined for one of the others. */
+  /** Undefined for an owner of another version. */
   readonly node: string | undefined;
   readonly route: string;
   readonly outcomes: Outcomes;
-  /** Age of the order as it was made, in milliseconds. */
+  /** Age of the order when the report was made, in milliseconds. */
   readonly reportedAtMs: number;
 }
 
 export interface FailureCounts {
   addReport(report: FailureReport): void;
-  /** The failures that are too many for a version as good as the others; undefined if there are none. */
+  /**
+   * Text on the first route with more failures than a version as good as the others would have;
+   * undefined if there is none.
+   */
   doubt(): string | undefined;
-  /** The same, but for what a single machine in trouble would explain. */
+  /** Like `doubt`, but leaves out routes whose failures a single faulty machine would explain. */
   doubtBeyondOneNode(): string | undefined;
-  /** The node of the version without which nothing would speak against it: a machine in trouble, maybe. */
+  /**
+   * The node of the version without which its failures are not unusual; its machine may be faulty.
+   */
   suspect(): string | undefined;
-  /** How often a version that fails a tenth more than the others shows so few failures: the likeliest route's. */
+  /**
+   * Probability that a version which fails a tenth more requests than the others has so few
+   * failures, on the route where that is most likely.
+   */
   chanceIfBad(): number;
 }
 
 /** Outcomes by span. */
 type Spans = Map<number, Outcomes>;
 
-/** What the failures on a route say. */
+/** Result for the failures on one route. */
 interface Judgement {
   readonly route: string;
   readonly text: string;
-  /** Of the version's back ends, without a suspect. */
-  readonly shown: Outcomes;
-  /** True if they are not too many, or all at one node of several. */
+  /** Outcomes of the version's back ends, without a suspect. */
+  readonly outcomes: Outcomes;
+  /** True if the failures are not unusual, or if the version's other nodes clear it. */
   readonly isCleared: boolean;
   readonly suspect: string | undefined;
 }
@@ -82,17 +100,17 @@
     spans.set(span, sumOutcomes([spans.get(span) ?? NO_OUTCOMES, outcomes]));
   };
 
-  /** Until the next report. */
-  let judged: readonly Judgement[] | undefined;
+  /** Judgements cached until the next report. */
+  let cachedJudgements: readonly Judgement[] | undefined;
 
   const judgements = (): readonly Judgement[] => {
-    judged ??= [...byRoute].map(([route, nodes]) => judge(route, nodes));
-    return judged;
+    cachedJudgements ??= [...byRoute].map(([route, nodes]) => judge(route, nodes));
+    return cachedJudgements;
   };
 
   return {
     addReport: (report) => {
-      judged = undefined;
+      cachedJudgements = undefined;
       addTo(report.route, report);
       addTo(ALL_ROUTES, report);
     },
@@ -125,23 +143,23 @@
   const targets = targetsOf(nodes).map(([node, spans]) => ({ node, ...expect(spans, usualIn) }));
   const sum = add(targets);
   const text = `${sum.bad} of ${sum.total} failed ${route}`;
-  if (chanceOf(sum) >= DOUBTED_BELOW) {
-    return { route, text, shown: sum, isCleared: true, suspect: undefined };
+  if (chanceOf(sum) >= DOUBT_PROBABILITY) {
+    return { route, text, outcomes: sum, isCleared: true, suspect: undefined };
   }
   const worst = targets.reduce((one, other) => (other.bad > one.bad ? other : one));
   const rest = add(targets.filter((each) => each !== worst));
-  const isOdd = chanceOf(rest) < ODD_BELOW;
+  const isOdd = chanceOf(rest) < ODD_PROBABILITY;
   const isCleared = !isOdd && rest.total >= CLEARING_RUNS;
   return {
     route,
     text,
-    shown: isOdd ? sum : rest,
+    outcomes: isOdd ? sum : rest,
     isCleared,
     suspect: isOdd ? undefined : worst.node,
   };
 }
 
-/** Outcomes, and the failures among as many of the others. */
+/** Outcomes, and the failures expected among as many requests of the others. */
 interface Expected extends Outcomes {
   readonly usual: number;
 }
@@ -155,51 +173,51 @@
   return { ...sumOutcomes(all), usual: all.reduce((sum, { usual }) => sum + usual, 0) };
 }
 
-/** What the others showed about a span, or on the whole, whichever is worse. */
+/** The others' failure share around a span or overall, whichever is higher. */
 function usualSharesOf(others: Spans): (span: number) => number {
   const whole = shareUpperBound(wholeOf(others), USUAL_FAILURES);
-  const known = new Map<number, number>();
+  const cache = new Map<number, number>();
   const shareNear = (span: number) => {
     const near = Array.from(
-      { length: 2 * SPANS_BESIDE + 1 },
-      (_, index) => others.get(span - SPANS_BESIDE + index) ?? NO_OUTCOMES,
+      { length: 2 * ADJACENT_SPANS + 1 },
+      (_, index) => others.get(span - ADJACENT_SPANS + index) ?? NO_OUTCOMES,
     );
     return Math.max(whole, shareUpperBound(sumOutcomes(near), USUAL_FAILURES));
   };
   return (span) => {
-    const share = known.get(span) ?? shareNear(span);
-    known.set(span, share);
+    const share = cache.get(span) ?? shareNear(span);
+    cache.set(span, share);
     return share;
   };
 }
 
-/** The probability of so many bad outcomes, or more, where as many are usual as is told. */
+/** Probability of at least `bad` bad outcomes if `usual` of them are expected. */
 function chanceOf({ total, bad, usual }: Expected): number {
   const share = total > 0 ? Math.min(1, usual / total) : 0;
   if (share >= 1) {
     return 1;
   }
-  let each = (1 - share) ** total;
+  let exactly = (1 - share) ** total;
   let fewer = 0;
   for (let count = 0; count < bad; count += 1) {
-    fewer += each;
-    each *= ((total - count) / (count + 1)) * (share / (1 - share));
+    fewer += exactly;
+    exactly *= ((total - count) / (count + 1)) * (share / (1 - share));
   }
   return 1 - fewer;
 }
 
 function chanceIfBadOn(
-  { shown }: Judgement,
+  { outcomes }: Judgement,
   nodes: ReadonlyMap<string, Spans>,
   all: number,
 ): number {
   const others = wholeOf(nodes.get(OTHERS));
-  const total = others.total + shown.total;
+  const total = others.total + outcomes.total;
   const isRare = total < all * RARE_SHARE;
-  if (isRare && shown.bad === 0 && shown.total >= total * RARE_PART) {
+  if (isRare && outcomes.bad === 0 && outcomes.total >= total * RARE_PART) {
     return 0;
   }
   const worse = Math.min(1, shareUpperBound(others, USUAL_FAILURES) + WORSE_BY);
-  const oneMore = { total: shown.total, bad: shown.bad + 1, usual: shown.total * worse };
+  const oneMore = { total: outcomes.total, bad: outcomes.bad + 1, usual: outcomes.total * worse };
   return 1 - chanceOf(oneMore);
 }
--- a/src/rollout/rolloutEvidence.ts
+++ b/src/rollout/rolloutEvidence.ts
@@ -1,4 +1,4 @@
-/** Which evidence a phase of a roll-out still lacks, route by route. */
+/** Finds the routes on which the evidence of a phase is still missing. */
 
 import { requestsIn } from './exposure.js';
 import { MIN_RAMP_RUNS, phaseBudgetsOf, rampRuns } from './phaseBudgets.js';
@@ -14,27 +14,28 @@
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /**
- * Requests on each route that the version must have finished before it gets more: one that fails half of
- * them passes so many without a failure once in four thousand times.
+ * Requests on each route that the version must have finished in the watch before it gets a larger
+ * share. A version that fails half of its requests passes 12 without a failure once in 4,000 times.
  */
 const WATCH_RUNS = 12;
 
-/** The same in the last step, as far as so many come. */
+/** Requests on each route that the version must have finished in the shift, if that many arrive. */
 export const MIN_SHIFT_RUNS = 10;
 
-/** The last step brings its evidence within about so long, in milliseconds. */
-const LAST_STEP_MS = 400;
+/** Milliseconds within which the shift brings its evidence. */
+const SHIFT_EVIDENCE_MS = 400;
 
-/** The watch is over when so much of what was wanted of it is there. */
+/** Share of the planned runs that is enough to end the watch. */
 const WATCHED_PART = 0.8;
 
-/** True for a version that has shown in the last step as well that it is hardly a bad one. */
+/** True for a version that is likely good, with enough runs on each route in the shift itself. */
 export function isLikelyGood(facts: RolloutFacts): boolean {
   return (
     hasEvidenceOf(facts, likelyGoodRuns(facts)) && undersampledRouteInShift(facts) === undefined
   );
 }
 
+/** The first route with too few runs in the ramp; undefined if none, or in another phase. */
 export function undersampledRouteInRamp(facts: RolloutFacts): string | undefined {
   if (facts.phase !== RolloutPhase.Ramp) {
     return undefined;
@@ -42,11 +43,15 @@
   return missingOfPhase(facts, (route) => rampRuns(facts, route), MIN_RAMP_RUNS);
 }
 
+/** The first route with too few runs in the shift; undefined if none. */
 export function undersampledRouteInShift(facts: RolloutFacts): string | undefined {
-  return missingOfPhase(facts, (route) => requestsIn(route, LAST_STEP_MS), MIN_SHIFT_RUNS);
+  return missingOfPhase(facts, (route) => requestsIn(route, SHIFT_EVIDENCE_MS), MIN_SHIFT_RUNS);
 }
 
-/** The first route of which the version has finished too few requests, of so many and of what there was. */
+/**
+ * The first route on which the version has finished too few requests in the watch, measured by
+ * WATCH_RUNS, by the plan and by the requests that arrived. Undefined if there is none.
+ */
 export function undersampledRouteInWatch(facts: RolloutFacts): string | undefined {
   const perEarlyRun = phaseBudgetsOf(facts).watch / Math.max(1, totalRunsBeforeShift(facts));
   const isMissing = (route: RouteTraffic) => {
@@ -56,13 +61,16 @@
   return facts.routes.find(isMissing)?.route;
 }
 
-/** The same within a phase that brings the version so many requests of a route. */
+/**
+ * The first route with fewer runs in the phase than `wanted`, or than half of the requests that the
+ * phase is expected to bring, whichever is less. Undefined if there is none.
+ */
 function missingOfPhase(
   { routes }: RolloutFacts,
-  comes: (route: RouteTraffic) => number,
+  expectedRuns: (route: RouteTraffic) => number,
   wanted: number,
 ): string | undefined {
   const isMissing = (each: RouteTraffic) =>
-    each.phaseRuns < Math.min(wanted, Math.floor(comes(each) * EXPECTED_ARRIVAL_SHARE));
+    each.phaseRuns < Math.min(wanted, Math.floor(expectedRuns(each) * EXPECTED_ARRIVAL_SHARE));
   return routes.find(isMissing)?.route;
 }
--- a/src/rollout/rolloutProof.ts
+++ b/src/rollout/rolloutProof.ts
@@ -1,39 +1,56 @@
-/** When a version has shown itself to be good: by how many requests on each route, and when they are to be had. */
+/**
+ * When a version is considered good: how many requests without a failure it needs on each route,
+ * and whether they can arrive in time.
+ */
 
 import { budgetAfter, budgetNow, requestsIn } from './exposure.js';
 import { type RolloutFacts, requiredShiftMs, timeToDeadlineMs } from './rolloutFacts.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
 /**
- * A version is likely to be good, and its limits are lifted in the last step, when one that fails a tenth more
- * than the others on a route would show so few failures as seldom as it passes so many requests without any. The
- * bound may leave room for more: then the version must show more.
+ * Requests without a failure on each route after which a version is likely good; its limits are
+ * then lifted in the shift. Where a route has seen failures, the evidence must be as strong: a
+ * version that fails a tenth more requests than the others shows it no more often than it passes
+ * this many requests without a failure. The number is PROVING_PART of the budget, divided by the
+ * number of routes, within these two bounds: the more the budget allows, the more the version must
+ * show.
  */
 const LEAST_PROVING_RUNS = 36;
 const MOST_PROVING_RUNS = 150;
 const PROVING_PART = 0.7;
 
-/** It is proven, and may be done before the deadline though the bound doesn't pay for it, with so many more. */
+/**
+ * Requests on each route beyond the likely good number after which a version is proven. A proven
+ * version may complete before the deadline though the budget does not cover all requests until
+ * then.
+ */
 const PROVEN_RUNS_MORE = 14;
 
-/** What a version shows as often as this if it fails a tenth more, with each request that doesn't fail. */
+/** Probability that a version which fails a tenth more requests passes one request. */
 const PASSED_IF_BAD = 0.9;
 
-/** The last step brings them within about so long, in milliseconds; watch and ramp must bring the rest. */
+/**
+ * Milliseconds of the shift that count towards the likely good number; watch and ramp must bring
+ * the other requests.
+ */
 const PROOF_MS = 400;
 
-/** Each route has so many of them early, whatever the last step brings. */
+/** Requests on each route that watch and ramp must bring, however many the shift brings. */
 const LEAST_EARLY_RUNS = 8;
 
-/** A route with fewer of the service's requests than this is rare. */
+/** A route with a smaller share of the service's requests than this is rare. */
 const RARE_SHARE = 0.05;
 
-/** What comes at a steady rate comes in clumps: this part of it is waited for. */
+/**
+ * Share of the requests expected from a route's rate that is waited for: requests arrive unevenly
+ * even at a steady rate.
+ */
 export const EXPECTED_ARRIVAL_SHARE = 0.5;
 
 /**
- * True for a version that has failed nothing, if the bound leaves what shows it to be likely good on each route by
- * the time that it is in the last step.
+ * True if the version has failed nothing and is not in doubt, and each route (rare ones excepted)
+ * brings enough requests by the start of the shift to show it likely good, within the budget at
+ * that time.
  */
 export function canBeProven(facts: RolloutFacts): boolean {
   const { exposure, routes, comparison } = facts;
@@ -46,18 +63,24 @@
   return isClean && seen && proving * routes.length <= budgetAfter(exposure, before);
 }
 
-/** Requests on each route that show a version to be likely good if none fails: what the bound leaves room for. */
+/**
+ * Requests on each route that show a version to be likely good if none fails; grows with the
+ * budget.
+ */
 export function likelyGoodRuns({ exposure, routes }: RolloutFacts): number {
   const room = (budgetNow(exposure) * PROVING_PART) / Math.max(1, routes.length);
   return Math.min(MOST_PROVING_RUNS, Math.max(LEAST_PROVING_RUNS, Math.floor(room)));
 }
 
-/** Routes with hardly any requests are judged by half of them. */
+/** True for a route with hardly any requests; it is judged by half of those that arrived. */
 function isRare({ exposure }: RolloutFacts, { perSecond }: RouteTraffic): boolean {
   return perSecond < exposure.perSecond * RARE_SHARE;
 }
 
-/** Runs of a route that watch and ramp are to bring: the fewer requests it has, the less the last step can. */
+/**
+ * Runs of a route that watch and ramp must bring. The fewer requests a route has, the fewer the
+ * shift can contribute.
+ */
 export function runsBeforeShift(facts: RolloutFacts, route: RouteTraffic): number {
   if (isRare(facts, route)) {
     return Math.min(likelyGoodRuns(facts), route.requests * EXPECTED_ARRIVAL_SHARE);
@@ -69,7 +92,7 @@
   return facts.routes.reduce((sum, route) => sum + runsBeforeShift(facts, route), 0);
 }
 
-/** Time that the last step needs to prove the version and to end. */
+/** Milliseconds that the shift needs to prove the version and to end. */
 export function shiftWithProofMs(facts: RolloutFacts): number {
   const busy = facts.routes.filter((route) => !isRare(facts, route));
   const slowest = Math.min(...busy.map(({ perSecond }) => perSecond));
@@ -81,12 +104,14 @@
   return hasEvidenceOf(facts, provenRuns(facts));
 }
 
-/** Requests on each route that prove it. */
+/** Requests on each route after which the version is proven if none fails. */
 export function provenRuns(facts: RolloutFacts): number {
   return likelyGoodRuns(facts) + PROVEN_RUNS_MORE;
 }
 
-/** True if the version has shown on each route as much as so many requests without a failure do. */
+/**
+ * True if the evidence on each route is at least as strong as `runs` requests without a failure.
+ */
 export function hasEvidenceOf({ comparison }: RolloutFacts, runs: number): boolean {
   return comparison.chanceIfBad <= PASSED_IF_BAD ** runs;
 }
--- a/src/rollout/runCounts.ts
+++ b/src/rollout/runCounts.ts
@@ -1,66 +1,71 @@
 /**
- * What a back end has made of the requests that it got while a roll-out runs, by route: the evidence.
- * Counts only grow, so that whoever is told later, or again, has lost nothing.
+ * Counts by route how requests ended at a back end while a roll-out runs: the evidence of its
+ * deciders. Counts only grow, so that a lost, late or repeated report loses nothing.
  */
 
-/** Bounds between the classes of durations grow by this factor: a version three times slower is three classes off. */
+/**
+ * Factor between the bounds of successive duration classes. A version that is three times slower is
+ * three classes higher.
+ */
 const CLASS_FACTOR = Math.SQRT2;
 
-/** The first class ends here, in milliseconds; the last one has no end. */
+/** Upper bound of the first duration class, in milliseconds; the last class has none. */
 const FIRST_BOUND_MS = 2;
 
-/** Classes of durations: the last one begins at 33 s, longer than requests wait. */
+/** Number of duration classes. The last one begins at 33 s, longer than requests wait. */
 export const DURATION_CLASSES = 30;
 
-/** Routes that are told apart; what comes over others is counted together. */
+/** Routes counted separately; requests of further routes are counted together. */
 const MAX_ROUTES = 24;
 const OTHER_ROUTES = '';
 
 /**
- * Connections that a back end loses at the same moment, in milliseconds, are one crash: a machine may
- * fail under any version, and all that ran there fails with it.
+ * Connections that a back end loses within this time of one another, in milliseconds, count as one
+ * crash: a machine may fail under any version, and all requests that run there fail with it.
  */
 const SAME_CRASH_MS = 250;
 
-/** How a request ended at a back end. */
+/** How a request at a back end ended. */
 export enum RunResult {
   Answered = 0,
-  /** The back end failed it: an answer 5xx, a spoilt or foreign one. */
+  /**
+   * The back end failed the request: its answer was a 5xx, was malformed, or came from another back
+   * end.
+   */
   Failed = 1,
-  /** Its connection was lost: a machine or a network may do that to any version. */
+  /** The connection was lost, which a faulty machine or network can cause under any version. */
   ConnectionLost = 2,
-  /** Nobody waited for it any longer. */
+  /** The request was cancelled, as its client no longer waited for it. */
   Cancelled = 3,
 }
 
 /** One request at a back end. */
 export interface BackEndRun {
   readonly service: string;
-  /** Of the back end; undefined while it has told none. */
+  /** Version of the back end; undefined until the back end has announced it. */
   readonly version: string | undefined;
   readonly route: string;
   readonly result: RunResult;
   readonly tookMs: number;
-  /** True while the back end is slow from its start: its durations tell nothing. */
+  /** True while the back end is still slow after its start; its durations are not counted then. */
   readonly isCold: boolean;
 }
 
-/** What is known of one route at one back end. */
+/** Counts of one route at one back end. */
 export interface RouteCounts {
   readonly answered: number;
   readonly failed: number;
-  /** Crashes: connections that were lost, those of one moment counted once. */
+  /** Lost connections; those lost at about the same moment count once. */
   readonly crashes: number;
-  /** Answered requests by class of duration. */
+  /** Answered requests by duration class. */
   readonly durations: readonly number[];
-  /** Requests that were cut off, by class of the time until then. */
+  /** Cancelled requests by the class of the time until they were cancelled. */
   readonly cancellations: readonly number[];
 }
 
-/** By the names of the routes. */
+/** Counts by the name of the route. */
 export type CountsByRoute = ReadonlyMap<string, RouteCounts>;
 
-/** The class of a duration. */
 export function durationClass(ms: number): number {
   const steps = Math.ceil(
     Math.log(Math.max(ms, FIRST_BOUND_MS) / FIRST_BOUND_MS) / Math.log(CLASS_FACTOR),
@@ -68,21 +73,21 @@
   return Math.min(DURATION_CLASSES - 1, steps);
 }
 
-/** The longest duration of a class, in milliseconds; of the last one, the shortest. */
+/** The upper bound of a class in milliseconds; for the last class, its lower bound. */
 export function classUpperBoundMs(place: number): number {
   return FIRST_BOUND_MS * CLASS_FACTOR ** Math.min(place, DURATION_CLASSES - 2);
 }
 
-/** Kept by each owner. */
+/** The counts that each owner keeps. */
 export interface RunCounts {
   record(run: BackEndRun, now: number): void;
-  /** What the back ends of a version have made of their requests until now. */
+  /** Counts so far of the back ends of a version. */
   countsFor(version: string | undefined): CountsByRoute;
-  /** Another order: the counts begin anew. */
+  /** Sets all counts to zero, for another order. */
   reset(): void;
 }
 
-interface Counted {
+interface MutableCounts {
   answered: number;
   failed: number;
   crashes: number;
@@ -91,11 +96,11 @@
 }
 
 export function createRunCounts(): RunCounts {
-  const versions = new Map<string | undefined, Map<string, Counted>>();
+  const versions = new Map<string | undefined, Map<string, MutableCounts>>();
   let lostAt = Number.NEGATIVE_INFINITY;
 
-  const countsOf = ({ version, route }: BackEndRun): Counted => {
-    const routes = versions.get(version) ?? new Map<string, Counted>();
+  const countsOf = ({ version, route }: BackEndRun): MutableCounts => {
+    const routes = versions.get(version) ?? new Map<string, MutableCounts>();
     versions.set(version, routes);
     const name = routes.has(route) || routes.size < MAX_ROUTES ? route : OTHER_ROUTES;
     const counts = routes.get(name) ?? emptyCounts();
@@ -131,7 +136,7 @@
   };
 }
 
-function emptyCounts(): Counted {
+function emptyCounts(): MutableCounts {
   return { answered: 0, failed: 0, crashes: 0, durations: [], cancellations: [] };
 }
 
@@ -145,9 +150,11 @@
   classes[place] = (classes[place] ?? 0) + 1;
 }
 
-/** What has come since an earlier state of the same counts; all of it if they began anew meanwhile. */
+/**
+ * Difference from an earlier state of the same counts; all of `now` if they were reset meanwhile.
+ */
 export function countsSince(now: RouteCounts, earlier: RouteCounts | undefined): RouteCounts {
-  if (!earlier || hasBegunAnew(now, earlier)) {
+  if (!earlier || wasReset(now, earlier)) {
     return now;
   }
   return {
@@ -159,7 +166,7 @@
   };
 }
 
-function hasBegunAnew(now: RouteCounts, earlier: RouteCounts): boolean {
+function wasReset(now: RouteCounts, earlier: RouteCounts): boolean {
   return (
     now.answered < earlier.answered || now.failed < earlier.failed || now.crashes < earlier.crashes
   );
@@ -169,7 +176,7 @@
   return now.map((count, index) => Math.max(0, count - (earlier[index] ?? 0)));
 }
 
-/** Requests in the classes from `place` on. */
+/** Requests in the classes from index `place` up. */
 export function countFrom(classes: readonly number[], place: number): number {
   return classes.slice(place).reduce((sum, count) => sum + count, 0);
 }
--- a/src/rollout/runOutcomes.ts
+++ b/src/rollout/runOutcomes.ts
@@ -1,20 +1,28 @@
-/** What one measure of a comparison makes of an owner's counts: failures, lost connections, durations. */
+/**
+ * Derives the outcomes for each measure of a comparison from counts: failures, crashes, durations.
+ */
 import { classUpperBoundMs, countFrom, DURATION_CLASSES, type RouteCounts } from './runCounts.js';
 import type { Outcomes } from './sequentialTest.js';
 
-/** The bound of durations is the class above which at most this share of the others' lie, ... */
+/**
+ * The slow threshold starts from the first duration class that at most this share of the others
+ * reach.
+ */
 const SLOW_SHARE = 0.1;
 
-/** ... and so many classes above that: a class is as long again by two fifths. */
+/** Classes added to the slow threshold; a class is longer than the one below it by two fifths. */
 const SLOW_CLASSES_ABOVE = 1;
 
-/** So few of the others' requests take longer than those that their end is waited for. */
+/**
+ * Share of the others' requests that may take longer than the time within which their requests are
+ * expected to end.
+ */
 const LONG_SHARE = 0.005;
 
-/** Durations of the others on a route that are needed for a bound. */
+/** Number of the others' durations on a route that a slow threshold needs. */
 const MIN_DURATIONS = 30;
 
-/** Requests that were answered, and those of them that failed. */
+/** Requests that were answered or failed, and those that failed. */
 export function failuresOf(counts: readonly RouteCounts[]): Outcomes {
   return counts.reduce(
     (sum, { answered, failed }) => ({
@@ -25,7 +33,7 @@
   );
 }
 
-/** Requests that ended, and lost connections among them. */
+/** Requests that were answered, failed or lost their connection, and the crashes among them. */
 export function crashesOf(counts: readonly RouteCounts[]): Outcomes {
   return counts.reduce(
     (sum, { answered, failed, crashes }) => ({
@@ -36,13 +44,16 @@
   );
 }
 
-/** What was cut off before the bound tells nothing. */
-export function slowOf(counts: readonly RouteCounts[], bound: number): Outcomes {
+/**
+ * Requests with a duration, and those from class `threshold` up. Requests cancelled below the
+ * threshold do not count, as their duration is unknown.
+ */
+export function slowOf(counts: readonly RouteCounts[], threshold: number): Outcomes {
   return counts.reduce(
     (sum, { durations, cancellations }) => {
-      const slow = countFrom(durations, bound) + countFrom(cancellations, bound);
+      const slow = countFrom(durations, threshold) + countFrom(cancellations, threshold);
       return {
-        total: sum.total + countFrom(durations, 0) + countFrom(cancellations, bound),
+        total: sum.total + countFrom(durations, 0) + countFrom(cancellations, threshold),
         bad: sum.bad + slow,
       };
     },
@@ -50,7 +61,7 @@
   );
 }
 
-/** The end of the class above which hardly any duration lies, of all routes together. */
+/** Upper bound in milliseconds of nearly all durations, over all routes; 0 without durations. */
 export function nearMaxDurationMs(routes: readonly (readonly number[])[]): number {
   const classes = Array.from({ length: DURATION_CLASSES }, (_, place) =>
     routes.reduce((sum, durations) => sum + (durations[place] ?? 0), 0),
@@ -60,7 +71,7 @@
   return total === 0 ? 0 : classUpperBoundMs(last);
 }
 
-/** The first class that counts as slow; undefined while too little is known. */
+/** The first class that counts as slow; undefined with fewer than MIN_DURATIONS durations. */
 export function slowThresholdOf(durations: readonly number[]): number | undefined {
   const total = countFrom(durations, 0);
   if (total < MIN_DURATIONS) {
--- a/src/rollout/sequentialTest.ts
+++ b/src/rollout/sequentialTest.ts
@@ -1,17 +1,18 @@
 /**
- * Whether the back ends of a version do worse than the others: Wald's sequential probability ratio
- * test, restarted whenever it speaks for the version (Page 1954), so that a version that turns bad
- * late is found as quickly as one that was bad from the start.
+ * Tests whether the back ends of a version do worse than the others: Wald's sequential probability
+ * ratio test, restarted whenever the evidence favours the version (Page 1954), so that a version
+ * that turns bad late is found as quickly as one that was bad from the start.
  *
- * What is usual is what the others show on the whole or at that very moment, whichever is worse: a
- * fault that begins at all back ends at once is not the version's.
+ * The usual share of bad outcomes is that of the other back ends, either overall or at the same
+ * moment, whichever is worse: a fault that begins at all back ends at once is not caused by the
+ * version.
  *
- * A version is bad if its back ends are: what is seen at a single one while others of the version do
- * well is a machine in trouble. So each test also runs without each of the back ends, and the weakest
- * of these must speak against the version as well.
+ * Bad outcomes at a single back end, while others of the version do well, point to a faulty machine
+ * and not to the version. Each test therefore also runs without each of the back ends, and the
+ * weakest of these results must find the version bad as well.
  */
 
-/** Outcomes of a kind: `bad` of them are. */
+/** A number of outcomes, `bad` of which are bad. */
 export interface Outcomes {
   readonly total: number;
   readonly bad: number;
@@ -19,11 +20,14 @@
 
 export const NO_OUTCOMES: Outcomes = { total: 0, bad: 0 };
 
-/** What has come in a step: at the target version by back end, and at all the others together. */
+/**
+ * Outcomes that arrived in one step: those of the target version by back end, those of all others
+ * together.
+ */
 export interface TestStep {
   readonly target: ReadonlyMap<string, Outcomes>;
   readonly others: Outcomes;
-  /** True while the others get requests as well. */
+  /** True while the others receive requests too. */
   readonly areOthersServing: boolean;
 }
 
@@ -32,75 +36,84 @@
   readonly value: Value;
 }
 
-/** What is taken for usual, and for bad. */
+/** Thresholds for the usual and the bad share. */
 export interface TestLevels {
-  /** A share below this is usual, whatever the others show. */
+  /** Smallest usual share, even if the others have fewer bad outcomes. */
   readonly floor: number;
-  /** A version that exceeds the others' share by this is bad. */
+  /** Amount by which the share of a bad version exceeds the usual share. */
   readonly excess: number;
 }
 
-/** A share of failures of a hundredth is noise; ten in a hundred is what must be found. */
+/** A failure share of 1% is noise; a version that fails 10% must be found. */
 export const FAILURE_LEVELS: TestLevels = { floor: 0.01, excess: 0.09 };
 
-/** The same for a version that fails much: each failure then says more. */
+/**
+ * Levels of a test for versions that fail a large part of their requests; each failure weighs more
+ * in it than with FAILURE_LEVELS.
+ */
 export const GROSS_FAILURE_LEVELS: TestLevels = { floor: 0.01, excess: 0.4 };
 
 /**
- * Connections are also lost by machines and networks in trouble, on several back ends at once: one in
- * twenty is theirs. A version that crashes under its requests loses far more.
+ * Faulty machines and networks lose connections too, on several back ends at once: up to one in
+ * twenty is attributed to them. A version that crashes on its requests loses far more.
  */
 export const CRASH_LEVELS: TestLevels = { floor: 0.05, excess: 0.35 };
 
-/** Durations are compared at a bound that few of the others exceed. */
+/** A request is slow above a duration that few requests of the others exceed. */
 export const SLOWNESS_LEVELS: TestLevels = { floor: 0.03, excess: 0.2 };
 
 /**
- * Logarithm of the likelihood ratio at which a version is bad. Restarts make false alarms likelier than
- * the ratio says; see docs/design/rollouts.md for the shares measured.
+ * Logarithm of the likelihood ratio at which a version is bad. The restarts make false alarms more
+ * frequent than the ratio implies; docs/design/rollouts.md gives their shares.
  */
-const CONVICTION = 9;
+const BAD_WEIGHT = 9;
 
-/** And without any one of its back ends. */
-const CONVICTION_WITHOUT_ONE = 5;
+/** Logarithm of the ratio that must also be reached without any one of the version's back ends. */
+const BAD_WEIGHT_WITHOUT_ONE = 5;
 
-/** Part of what the others have shown that a step of theirs takes the place of. */
-const RENEWAL = 0.08;
+/**
+ * Share by which the others' earlier outcomes are discounted whenever new ones arrive: the usual
+ * share follows the present.
+ */
+const DISCOUNT = 0.08;
 
-/** Outcomes that the others are taken to have shown at the floor before they have shown any. */
+/** Number of outcomes at the floor share that the estimate of a share starts from. */
 const PRIOR_OUTCOMES = 40;
 
 /**
- * Milliseconds by which the target's outcomes wait while the others serve as well: they report half as often,
- * so theirs of the same time come later.
+ * Milliseconds by which the target's outcomes are delayed while the others serve too: the others
+ * report half as often, so their outcomes of the same time arrive later.
  */
 const DELAY_MS = 200;
 
-/** The present moment, in milliseconds: each of the others reports once in it. */
+/** Milliseconds that count as the same moment: each of the others reports once in that time. */
 const MOMENT_MS = 1_000;
 
 /**
- * Standard errors by which the others' share may be underestimated: with the two estimates of it, 1.5
- * found fewer bad versions in time (docs/design/rollouts.md).
+ * Standard errors added to the others' share, which may be underestimated. As the larger of two
+ * estimates of that share is used, 1.5 found fewer bad versions in time (docs/design/rollouts.md).
  */
 const MARGIN = 1.2;
 
 /**
- * The usual share is taken for no more than this, and a bad one for no more than the next: the
- * logarithms stay finite, and the two apart.
+ * Upper limits of the usual and of the bad share. They keep the logarithms finite and the two
+ * shares apart.
  */
-const HIGHEST_USUAL_SHARE = 0.9;
-const HIGHEST_SHARE = 0.95;
+const MAX_USUAL_SHARE = 0.9;
+const MAX_BAD_SHARE = 0.95;
 
-/** One measure of one route. */
+/** The test of one measure on one route. */
 export interface SequentialTest {
-  /** Takes what has come since the last step, at a steady time in milliseconds. */
+  /** Adds the outcomes since the last step; `now` is monotonic, in milliseconds. */
   add(step: TestStep, now: number): void;
-  /** Evidence against the version, from 0 on: the logarithm of a likelihood ratio. */
+  /** Evidence against the version: the logarithm of a likelihood ratio, 0 or more. */
   readonly weight: number;
-  /** The same without the back end that it rests on most; equal to it if the version has only one. */
+  /**
+   * The weight without the back end that contributes most to it; equal to `weight` if the version
+   * has only one back end.
+   */
   readonly weightWithoutOne: number;
-  /** True once the version is to be taken for bad. */
+  /** True while the evidence is strong enough to consider the version bad. */
   readonly isBad: boolean;
 }
 
@@ -108,11 +121,14 @@
   let usual = NO_OUTCOMES;
   /** Outcomes of the others in the latest steps, the oldest first. */
   let recentOthers: Timed<Outcomes>[] = [];
-  /** Outcomes of the target that wait for the others' reports. */
+  /** Outcomes of the target that are delayed until the others' reports arrive. */
   let delayedTarget: Timed<TestStep['target']>[] = [];
   let weight = 0;
-  /** Weights without each of the back ends that have shown anything bad; the others' equal `weight`. */
-  const without = new Map<string, number>();
+  /**
+   * Weights without each of the back ends that have had bad outcomes; without any other back end
+   * the weight is taken as `weight`.
+   */
+  const excluding = new Map<string, number>();
   const seen = new Set<string>();
 
   const shares = (): { usualShare: number; badShare: number } => {
@@ -121,14 +137,14 @@
       shareUpperBound(usual, floor),
       shareUpperBound(sumOutcomes(recentOthers.map(({ value }) => value)), floor),
     );
-    const usualShare = Math.min(HIGHEST_USUAL_SHARE, highest);
-    const badShare = Math.min(HIGHEST_SHARE, usualShare + Math.max(levels.excess, usualShare));
+    const usualShare = Math.min(MAX_USUAL_SHARE, highest);
+    const badShare = Math.min(MAX_BAD_SHARE, usualShare + Math.max(levels.excess, usualShare));
     return { usualShare, badShare };
   };
 
-  const renew = ({ total, bad }: Outcomes): void => {
+  const updateUsual = ({ total, bad }: Outcomes): void => {
     if (total > 0) {
-      const kept = 1 - RENEWAL;
+      const kept = 1 - DISCOUNT;
       usual = { total: usual.total * kept + total, bad: usual.bad * kept + bad };
     }
   };
@@ -143,28 +159,28 @@
       if (total > 0) {
         seen.add(node);
       }
-      if (bad > 0 && !without.has(node)) {
-        without.set(node, weight);
+      if (bad > 0 && !excluding.has(node)) {
+        excluding.set(node, weight);
       }
     }
-    for (const [node, before] of without) {
+    for (const [node, before] of excluding) {
       const own = target.get(node);
-      without.set(node, Math.max(0, before + sum - (own ? ratioOf(own) : 0)));
+      excluding.set(node, Math.max(0, before + sum - (own ? ratioOf(own) : 0)));
     }
     weight = Math.max(0, weight + sum);
   };
 
-  const weakest = (): number => (seen.size < 2 ? weight : Math.min(weight, ...without.values()));
+  const weakest = (): number => (seen.size < 2 ? weight : Math.min(weight, ...excluding.values()));
 
   return {
     add: ({ target, others, areOthersServing }, now) => {
-      renew(others);
-      const isPresent = ({ at }: Timed<unknown>) => now - at < MOMENT_MS;
-      recentOthers = [...recentOthers.filter(isPresent), { at: now, value: others }];
+      updateUsual(others);
+      const isRecent = ({ at }: Timed<unknown>) => now - at < MOMENT_MS;
+      recentOthers = [...recentOthers.filter(isRecent), { at: now, value: others }];
       const isDelayed = ({ at }: Timed<unknown>) => areOthersServing && now - at < DELAY_MS;
-      const waiting = [...delayedTarget, { at: now, value: target }];
-      delayedTarget = waiting.filter(isDelayed);
-      for (const { value } of waiting.filter((each) => !isDelayed(each))) {
+      const pending = [...delayedTarget, { at: now, value: target }];
+      delayedTarget = pending.filter(isDelayed);
+      for (const { value } of pending.filter((each) => !isDelayed(each))) {
         addTarget(value);
       }
     },
@@ -175,12 +191,12 @@
       return weakest();
     },
     get isBad() {
-      return weight >= CONVICTION && weakest() >= CONVICTION_WITHOUT_ONE;
+      return weight >= BAD_WEIGHT && weakest() >= BAD_WEIGHT_WITHOUT_ONE;
     },
   };
 }
 
-/** What a share may be by what has been seen of it; not below `floor`. */
+/** Upper estimate of the share of bad outcomes, at least `floor`. */
 export function shareUpperBound({ total, bad }: Outcomes, floor: number): number {
   const size = total + PRIOR_OUTCOMES;
   const share = (bad + floor * PRIOR_OUTCOMES) / size;
--- a/src/rollout/serviceTraffic.ts
+++ b/src/rollout/serviceTraffic.ts
@@ -1,45 +1,53 @@
 /**
- * What has reached a service since its order, and what reaches it now, by route: from the whole counts that
- * its owners report. Times are those at which the reports were made, not those at which they came.
+ * Computes by route the requests to a service since its order and their present rate, from the
+ * total counts that its owners report. Times are those at which reports were made, not those at
+ * which they arrived.
  */
 import type { EvidenceReport } from './rolloutMessages.js';
 import type { RolloutPhase } from './rolloutOrder.js';
 import { countFrom, type RouteCounts } from './runCounts.js';
 
 /**
- * Rates are taken over this time before an owner's newest report, in milliseconds: the same for all owners, so
- * that requests which move from one to another are counted once.
+ * Milliseconds before an owner's newest report over which its rate is computed. The time is the
+ * same for all owners, so that requests which move from one owner to another are counted once.
  */
 const RATE_MS = 2_000;
 
-/** They count until the owner has not been heard of for so long, in milliseconds. */
+/** Milliseconds without a report after which an owner's rate no longer counts. */
 const RATE_LIFETIME_MS = 2_500;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** One route of the service. */
+/** Traffic of one route of the service. */
 export interface RouteTraffic {
   readonly route: string;
-  /** Requests that back ends have ended since the order, as far as told. */
+  /** Requests that have ended at back ends since the order, by the reports so far. */
   readonly requests: number;
   readonly perSecond: number;
-  /** Of the target version: ended, those of them that failed, and those that ended in the present phase. */
+  /** Requests that have ended at the target version. */
   readonly runs: number;
+  /** Requests of these that failed. */
   readonly failed: number;
+  /** Requests of these that ended in the present phase. */
   readonly phaseRuns: number;
 }
 
 export interface ServiceTraffic {
-  /** A report, newer than those of the same count before; `now` is a steady time in milliseconds. */
+  /**
+   * Adds a report, newer than earlier ones of the same count; `now` is monotonic, in milliseconds.
+   */
   addReport(report: EvidenceReport, isTarget: boolean, now: number): void;
-  /** The routes that have had requests; runs of the phase count if their owner was in it as it told them. */
+  /**
+   * The routes that have had requests. Runs count towards the phase if their owner was in it when
+   * it reported them.
+   */
   routes(phase: RolloutPhase, now: number): readonly RouteTraffic[];
 }
 
 /** Ended requests of one count by route. */
 type Totals = ReadonlyMap<string, { readonly ended: number; readonly failed: number }>;
 
-interface Told {
+interface TimedTotals {
   readonly reportedAtMs: number;
   readonly totals: Totals;
 }
@@ -47,15 +55,15 @@
 /** One owner's count of one version. */
 interface Count {
   readonly isTarget: boolean;
-  /** The newest reports, the oldest first; one of them from before the time of the rate. */
-  told: Told[];
-  heardAt: number;
+  /** The newest reports, the oldest first; one of them is older than the time of the rate. */
+  reports: TimedTotals[];
+  receivedAt: number;
   phase: RolloutPhase;
-  /** What was counted before the owner was in its phase. */
-  before: Totals;
+  /** Totals before the owner entered its phase. */
+  beforePhase: Totals;
 }
 
-const NOTHING: Totals = new Map();
+const NO_TOTALS: Totals = new Map();
 
 export function createServiceTraffic(): ServiceTraffic {
   const counts = new Map<string, Count>();
@@ -64,33 +72,33 @@
     const { node, countId, version, phase, ageMs } = report;
     const key = `${node} ${countId} ${version}`;
     const totals = totalsOf(report);
-    const known = counts.get(key);
-    if (!known) {
-      const told = [{ reportedAtMs: ageMs, totals }];
-      counts.set(key, { isTarget, told, heardAt: now, phase, before: totals });
+    const existing = counts.get(key);
+    if (!existing) {
+      const reports = [{ reportedAtMs: ageMs, totals }];
+      counts.set(key, { isTarget, reports, receivedAt: now, phase, beforePhase: totals });
       return;
     }
-    if (known.phase !== phase) {
-      known.phase = phase;
-      known.before = known.told.at(-1)?.totals ?? NOTHING;
+    if (existing.phase !== phase) {
+      existing.phase = phase;
+      existing.beforePhase = existing.reports.at(-1)?.totals ?? NO_TOTALS;
     }
-    const isOld = (_: Told, index: number, all: readonly Told[]) =>
+    const isOld = (_: TimedTotals, index: number, all: readonly TimedTotals[]) =>
       (all[index + 1]?.reportedAtMs ?? Number.POSITIVE_INFINITY) <= ageMs - RATE_MS;
-    const told = [...known.told, { reportedAtMs: ageMs, totals }];
-    known.told = told.filter((each, index) => !isOld(each, index, told));
-    known.heardAt = now;
+    const reports = [...existing.reports, { reportedAtMs: ageMs, totals }];
+    existing.reports = reports.filter((each, index) => !isOld(each, index, reports));
+    existing.receivedAt = now;
   };
 
   const trafficOf = (route: string, phase: RolloutPhase, now: number): RouteTraffic => {
     const sum = { requests: 0, perSecond: 0, runs: 0, failed: 0, phaseRuns: 0 };
     for (const count of counts.values()) {
-      const { ended = 0, failed = 0 } = count.told.at(-1)?.totals.get(route) ?? {};
+      const { ended = 0, failed = 0 } = count.reports.at(-1)?.totals.get(route) ?? {};
       sum.requests += ended;
-      sum.perSecond += now - count.heardAt <= RATE_LIFETIME_MS ? rateOf(count, route) : 0;
+      sum.perSecond += now - count.receivedAt <= RATE_LIFETIME_MS ? rateOf(count, route) : 0;
       if (count.isTarget) {
         sum.runs += ended;
         sum.failed += failed;
-        sum.phaseRuns += count.phase === phase ? ended - endedIn(count.before, route) : 0;
+        sum.phaseRuns += count.phase === phase ? ended - endedIn(count.beforePhase, route) : 0;
       }
     }
     return { route, ...sum };
@@ -100,7 +108,7 @@
     addReport,
     routes: (phase, now) => {
       const names = new Set(
-        [...counts.values()].flatMap(({ told }) => [...(told.at(-1)?.totals.keys() ?? [])]),
+        [...counts.values()].flatMap(({ reports }) => [...(reports.at(-1)?.totals.keys() ?? [])]),
       );
       return [...names].map((route) => trafficOf(route, phase, now));
     },
@@ -122,21 +130,21 @@
   return totals.get(route)?.ended ?? 0;
 }
 
-/** Requests a second before the newest report; a count begins with the order. */
-function rateOf({ told }: Count, route: string): number {
-  const newest = told.at(-1);
+/** Requests per second before the newest report; counts begin with the order. */
+function rateOf({ reports }: Count, route: string): number {
+  const newest = reports.at(-1);
   if (!newest || newest.reportedAtMs <= 0) {
     return 0;
   }
   const passedMs = Math.min(RATE_MS, newest.reportedAtMs);
-  const before = endedAt(told, route, newest.reportedAtMs - passedMs);
+  const before = endedAt(reports, route, newest.reportedAtMs - passedMs);
   return ((endedIn(newest.totals, route) - before) * MILLISECONDS_PER_SECOND) / passedMs;
 }
 
-/** What had ended at a time, between two reports. */
-function endedAt(told: readonly Told[], route: string, atMs: number): number {
-  const later = told.find(({ reportedAtMs }) => reportedAtMs >= atMs) as Told;
-  const earlier = told.filter(({ reportedAtMs }) => reportedAtMs < atMs).at(-1);
+/** Requests that had ended at a time, interpolated between the reports before and after it. */
+function endedAt(reports: readonly TimedTotals[], route: string, atMs: number): number {
+  const later = reports.find(({ reportedAtMs }) => reportedAtMs >= atMs) as TimedTotals;
+  const earlier = reports.filter(({ reportedAtMs }) => reportedAtMs < atMs).at(-1);
   const from = {
     ended: earlier ? endedIn(earlier.totals, route) : 0,
     at: earlier?.reportedAtMs ?? 0,
--- a/src/rollout/versionComparison.ts
+++ b/src/rollout/versionComparison.ts
@@ -1,9 +1,10 @@
 /**
- * Compares the back ends of the target version with the others of the service, on the same routes over
- * the same time: failures, lost connections and durations, each route by itself, and the first two for
- * all routes together as well. While the others get nothing there is nothing to compare with: what is
- * slow then, or fails now and then, may be the load or the machines. Only many failures or many lost
- * connections speak against the version at such a time.
+ * Compares the back ends of the target version with the others of the service, on the same routes
+ * over the same time. Failures, lost connections and durations are tested on each route, failures
+ * and lost connections on all routes together as well. While the others get no requests there is
+ * nothing to compare with: slow requests and occasional failures may then be caused by the load or
+ * the machines. At such a time only many failures or many lost connections count against the
+ * version.
  */
 import { createFailureCounts } from './failureCounts.js';
 import { type CountsByRoute, countsSince, type RouteCounts } from './runCounts.js';
@@ -28,51 +29,64 @@
 
 const ALL_ROUTES = '*';
 
-/** What is to be told of the comparison. */
+/** Result of the comparison so far. */
 export interface ComparisonSummary {
-  /** Requests that the target version has finished, and those of them that failed; a crash counts as one. */
+  /** Requests that the target version has finished; a crash counts as one. */
   readonly finished: number;
+  /** Requests of these that failed. */
   readonly failed: number;
-  /** Of the test that speaks most against the version. */
+  /** Weight of the test with the strongest evidence against the version. */
   readonly weight: number;
+  /** Weight of the same test without the back end that contributes most to it. */
   readonly weightWithoutOne: number;
+  /** Measure of this test. */
   readonly measure: string;
+  /** Route of this test. */
   readonly route: string;
   readonly isBad: boolean;
-  /** What speaks against more for the version though it is not bad yet; undefined if nothing does. */
+  /**
+   * Reason why the version should get no more requests though it is not considered bad yet;
+   * undefined if there is none.
+   */
   readonly doubt: string | undefined;
-  /** The same by what the others could be compared with, and not by a machine in trouble. */
+  /**
+   * Like `doubt`, but only from failures while the others served too, and only if a single faulty
+   * machine would not explain them.
+   */
   readonly comparedDoubt: string | undefined;
-  /** The back end without which nothing would speak against the version: a machine in trouble, maybe. */
+  /** Node of the back end without which the failures are not unusual; its machine may be faulty. */
   readonly suspect: string | undefined;
-  /** How often a version that fails a tenth more than the others on a route shows so few failures. */
+  /**
+   * Probability that a version which fails a tenth more requests than the others on a route has so
+   * few failures.
+   */
   readonly chanceIfBad: number;
 }
 
-/** One report: the whole counts of one back end. */
+/** A report: the total counts of one back end. */
 export interface CountsReport {
   readonly node: string;
-  /** Another one when they begin anew. */
+  /** Changes when the counts start from zero. */
   readonly countId: string;
   readonly isTarget: boolean;
-  /** Age of the order as it was made, in milliseconds. */
+  /** Age of the order when the report was made, in milliseconds. */
   readonly reportedAtMs: number;
-  /** False while the others get nothing: what fails at such a moment may fail everywhere. */
+  /** False while the others get no requests: failures at such a time may not be the version's. */
   readonly isCompared: boolean;
   readonly counts: CountsByRoute;
 }
 
-/** Kept by the decider for each order. */
+/** The comparison that the decider keeps for each order. */
 export interface VersionComparison {
-  /** Takes a report; it counts with the next step. */
+  /** Adds a report; it counts from the next step on. */
   addReport(report: CountsReport): void;
   /**
-   * Compares what has come since the last step, at a steady time in milliseconds; `areOthersServing` while they
-   * get requests as well.
+   * Compares the counts that arrived since the last step. `areOthersServing` is true while the
+   * others get requests too; `now` is monotonic, in milliseconds.
    */
   step(areOthersServing: boolean, now: number): void;
   readonly summary: ComparisonSummary;
-  /** Time in milliseconds within which nearly all requests end at the others; 0 while nothing is known. */
+  /** Milliseconds within which nearly all requests end at the others; 0 without durations. */
   readonly othersEndMs: number;
 }
 
@@ -87,20 +101,20 @@
   readonly others: RouteCounts[];
 }
 
-/** When a step is made, and whether the others get requests as well. */
+/** Time of a step, and whether the others get requests too. */
 interface Moment {
   readonly now: number;
   readonly areOthersServing: boolean;
 }
 
 export function createVersionComparison(): VersionComparison {
-  /** The newest whole counts, by node, count, version and route. */
+  /** The newest total counts, by node, count, whether it is the target version, and route. */
   const newest = new Map<string, RouteCounts>();
   const failures = createFailureCounts();
-  /** Those among them that the others could be compared with. */
+  /** Failures from the time when the others served too. */
   const comparedFailures = createFailureCounts();
   const tests = new Map<string, NamedTest>();
-  /** Durations of the others by class, of each route. */
+  /** Durations of the others by route and class. */
   const usualDurations = new Map<string, number[]>();
   let pending = new Map<string, RouteStep>();
   let finished = 0;
@@ -108,15 +122,18 @@
 
   const testOf = (measure: string, route: string, levels: TestLevels): SequentialTest => {
     const name = `${measure} ${route}`;
-    const known = tests.get(name) ?? { measure, route, test: createSequentialTest(levels) };
-    tests.set(name, known);
-    return known.test;
+    const named = tests.get(name) ?? { measure, route, test: createSequentialTest(levels) };
+    tests.set(name, named);
+    return named.test;
   };
 
   const stepOf = (route: string): RouteStep => {
-    const known = pending.get(route) ?? { target: new Map<string, RouteCounts[]>(), others: [] };
-    pending.set(route, known);
-    return known;
+    const routeStep = pending.get(route) ?? {
+      target: new Map<string, RouteCounts[]>(),
+      others: [],
+    };
+    pending.set(route, routeStep);
+    return routeStep;
   };
 
   const compareFailures = (route: string, step: RouteStep, moment: Moment): void => {
@@ -138,9 +155,9 @@
         usual[place] = (usual[place] ?? 0) + count;
       });
     }
-    const bound = slowThresholdOf(usual);
-    if (bound !== undefined) {
-      const slowFrom = (counts: readonly RouteCounts[]) => slowOf(counts, bound);
+    const threshold = slowThresholdOf(usual);
+    if (threshold !== undefined) {
+      const slowFrom = (counts: readonly RouteCounts[]) => slowOf(counts, threshold);
       const outcomes = outcomesOf(areOthersServing ? step : withoutTarget(step), slowFrom);
       testOf('durations', route, SLOWNESS_LEVELS).add({ ...outcomes, areOthersServing }, now);
     }
@@ -152,11 +169,11 @@
         const key = `${node} ${countId} ${isTarget} ${route}`;
         const since = countsSince(whole, newest.get(key));
         newest.set(key, whole);
-        const of = isTarget ? node : undefined;
+        const targetNode = isTarget ? node : undefined;
         const outcomes = failuresOf([since]);
-        failures.addReport({ node: of, route, outcomes, reportedAtMs });
+        failures.addReport({ node: targetNode, route, outcomes, reportedAtMs });
         if (isCompared) {
-          comparedFailures.addReport({ node: of, route, outcomes, reportedAtMs });
+          comparedFailures.addReport({ node: targetNode, route, outcomes, reportedAtMs });
         }
         const { target, others } = stepOf(route);
         if (!isTarget) {
@@ -171,7 +188,8 @@
     step: (areOthersServing, now) => {
       const moment = { areOthersServing, now };
       const whole: RouteStep = { target: new Map(), others: [] };
-      // Each step counts for all routes: what came before waits for the others' reports.
+      // Each step runs the tests of all routes, also those without new counts: the tests delay
+      // earlier outcomes of the target until the others' reports arrive.
       for (const route of new Set([...usualDurations.keys(), ...pending.keys()])) {
         const step = stepOf(route);
         compareFailures(route, step, moment);
@@ -208,7 +226,7 @@
   };
 }
 
-/** The test that finds the version bad; else the one that comes nearest to it. */
+/** The test that finds the version bad; otherwise the one with the strongest evidence. */
 function strongestOf(tests: readonly NamedTest[]): NamedTest | undefined {
   return tests.reduce<NamedTest | undefined>((best, next) => {
     if (!best || (next.test.isBad && !best.test.isBad)) {
