--- a/src/rollout/phaseBudgets.ts
+++ b/src/rollout/phaseBudgets.ts
@@ -1,4 +1,7 @@
-/** How a roll-out spends its bound: what the watch and the ramp may use of it, and when the ramp begins. */
+/**
+ * Divides the budget of a roll-out over its phases: the parts for the watch and the ramp, and when
+ * the ramp and the shift begin.
+ */
 
 import {
   affordableMs,
@@ -20,46 +23,56 @@
 import { canBeProven, shiftWithProofMs, totalRunsBeforeShift } from './rolloutProof.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
-/** The last step begins so much sooner than it must, in milliseconds, where the bound pays for it. */
-const GOOD_TIME_MS = 600;
+/** Milliseconds by which the shift begins sooner than it must, where the budget allows it. */
+const EARLY_START_MS = 600;
 
-/** The larger share is given for about so long, in milliseconds: some reports of every owner. */
+/** Approximate duration of the ramp in milliseconds: every owner reports a few times in it. */
 export const RAMP_MS = 500;
 
 /** Share of the requests that go to the version in the ramp. */
 export const RAMP_SHARE = 0.25;
 
-/** The ramp gets no more than this part of what watch and ramp use. */
+/** Largest part of the requests of watch and ramp together that the ramp gets. */
 const RAMP_PART = 0.4;
 
-/** And is left out where that is less than this part of what it should be: it would show nothing. */
+/**
+ * The ramp is left out if it would get less than this part of its usual requests: it would show
+ * nothing.
+ */
 const LEAST_RAMP_PART = 0.4;
 
-/** Requests on each route that the version must have finished in the ramp, as far as so many come. */
+/** Requests on each route that the version must have finished in the ramp, if that many arrive. */
 export const MIN_RAMP_RUNS = 5;
 
 /**
- * Watch and ramp use what the last step leaves of the bound, at least so many requests on each route. The watch
- * uses no more than proves the version on each route, or so many requests a second: a version that fails one in
- * ten is found within seconds by them.
+ * Watch and ramp use the budget that the shift leaves, but at least this many requests on each
+ * route.
  */
 const LEAST_RUNS = 10;
+
+/**
+ * The watch uses at most MOST_RUNS requests on each route, which prove the version, or
+ * MOST_WATCHED_PER_SECOND requests a second, whichever is more. At that rate a version that fails
+ * one request in ten is found within seconds.
+ */
 const MOST_RUNS = 70;
 const MOST_WATCHED_PER_SECOND = 20;
 
-/** A version in doubt may use this part of the bound at once: what speaks against it is to be settled. */
-const QUESTIONED_PART = 0.55;
+/**
+ * Part of the budget that a version in doubt may use at once, so that the doubt is settled soon.
+ */
+const IN_DOUBT_PART = 0.55;
 
-/** Time before the deadline at which the last step begins: in good time, if the bound pays for that. */
+/** Milliseconds before the deadline at which the shift begins: early, if the budget allows it. */
 export function shiftStartMs(facts: RolloutFacts, exposure: Exposure): number {
   if (canBeProven(facts)) {
-    return shiftWithProofMs(facts) + GOOD_TIME_MS;
+    return shiftWithProofMs(facts) + EARLY_START_MS;
   }
   const needs = requiredShiftMs(facts);
-  return Math.max(needs, Math.min(needs + GOOD_TIME_MS, affordableMs(exposure)));
+  return Math.max(needs, Math.min(needs + EARLY_START_MS, affordableMs(exposure)));
 }
 
-/** Time before the deadline at which the ramp begins. */
+/** Milliseconds before the deadline at which the ramp begins. */
 export function rampStartMs(facts: RolloutFacts): number {
   const { exposure } = facts;
   const taken = exposure.taken + phaseBudgetsOf(facts).ramp;
@@ -71,27 +84,30 @@
   return phaseBudgetsOf(facts).ramp > 0 ? RAMP_MS + facts.reportMs : 0;
 }
 
-/** Requests that the version is to have had when the ramp begins, and what it gets in the ramp. */
 interface PhaseBudgets {
+  /** Requests that the version may have received by the time that the ramp begins. */
   readonly watch: number;
+  /** Requests that it receives in the ramp. */
   readonly ramp: number;
 }
 
 /**
- * What the last step needs of the bound is kept for it, but that watch and ramp bring what they must for a version
- * that the last step can prove.
+ * Budgets of watch and ramp. They leave the shift the part of the budget that it needs, except that
+ * watch and ramp always get the requests they must bring: for a version that can be proven in the
+ * shift those before it, else LEAST_RUNS on each route.
  */
 export function phaseBudgetsOf(facts: RolloutFacts): PhaseBudgets {
   const { exposure, routes, ageMs } = facts;
   const untilDeadlineMs = Math.max(0, timeToDeadlineMs(facts));
   const bound = budgetAfter(exposure, untilDeadlineMs);
   const isToBeProven = canBeProven(facts);
-  // A last step that must pay for itself keeps more for its delays.
+  // If the version cannot be proven, the budget must cover the whole shift: more is kept for
+  // delays.
   const keptMs = minShiftMs(facts) + (isToBeProven ? 0 : 2 * RESERVE_MS);
-  const lastStep = requestsWithMarginIn(exposure, keptMs);
+  const shift = requestsWithMarginIn(exposure, keptMs);
   const least = isToBeProven ? totalRunsBeforeShift(facts) : LEAST_RUNS * routes.length;
-  const questioned = isInDoubt(facts) ? budgetNow(exposure) * QUESTIONED_PART : 0;
-  const rest = Math.max(bound - lastStep, least, questioned);
+  const inDoubt = isInDoubt(facts) ? budgetNow(exposure) * IN_DOUBT_PART : 0;
+  const rest = Math.max(bound - shift, least, inDoubt);
   const usual = routes.reduce((sum, route) => sum + usualRampRuns(route), 0);
   const left = Math.min(RAMP_PART * rest, usual);
   const ramp = left < usual * LEAST_RAMP_PART ? 0 : left;
@@ -102,10 +118,13 @@
   return { watch: Math.min(most, rest - ramp), ramp };
 }
 
-/** A route with few requests gives the version a larger part of them, so that they are enough to judge by. */
+/**
+ * Requests of a route that the ramp usually brings. On a route with few requests the version gets a
+ * larger share, so that there are enough to judge it by.
+ */
 function usualRampRuns(route: RouteTraffic): number {
-  const comes = requestsIn(route, RAMP_MS);
-  return Math.min(comes, Math.max(comes * RAMP_SHARE, MIN_RAMP_RUNS));
+  const expected = requestsIn(route, RAMP_MS);
+  return Math.min(expected, Math.max(expected * RAMP_SHARE, MIN_RAMP_RUNS));
 }
 
 /** Requests of a route that the version gets in the ramp. */
@@ -114,13 +133,16 @@
   return usual > 0 ? (usualRampRuns(route) * phaseBudgetsOf(facts).ramp) / usual : 0;
 }
 
-/** Those that are yet to come. */
+/** Requests of a route that the version has yet to get in the ramp. */
 export function rampRunsLeft(facts: RolloutFacts, route: RouteTraffic): number {
-  const had = facts.phase === RolloutPhase.Ramp ? route.phaseRuns : 0;
-  return Math.max(0, rampRuns(facts, route) - had);
+  const finished = facts.phase === RolloutPhase.Ramp ? route.phaseRuns : 0;
+  return Math.max(0, rampRuns(facts, route) - finished);
 }
 
-/** What the version has had when the ramp is over: the runs of one route do not use up those of another. */
+/**
+ * Requests that the version has received at most when the ramp is over. Runs on one route do not
+ * use up those of another.
+ */
 export function maxTakenAfterRamp(facts: RolloutFacts): number {
   const left = facts.routes.reduce((sum, route) => sum + rampRunsLeft(facts, route), 0);
   return facts.exposure.taken + left;
--- a/src/rollout/rolloutAllowance.ts
+++ b/src/rollout/rolloutAllowance.ts
@@ -1,4 +1,6 @@
-/** What the version gets in a phase: a share of each route, and so many requests in all. */
+/**
+ * What the version receives in each phase: a share of each route, and a total number of requests.
+ */
 
 import { budgetAfter, budgetNow, requestsIn } from './exposure.js';
 import type { Allowance } from './exposureLimits.js';
@@ -25,30 +27,39 @@
 import { provenRuns, runsBeforeShift, totalRunsBeforeShift } from './rolloutProof.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
-/** In the watch each owner may take what comes in a second, and so many requests more. */
-const LEAST_EACH = 2;
+/** Requests beyond those expected in a second that each owner may have left in the watch. */
+const EXTRA_PER_OWNER = 2;
 
-/** No route is left unwatched: a version may turn bad late. */
+/**
+ * Smallest share of a route in the watch: no route is left unobserved, as a version may turn bad
+ * late.
+ */
 const LEAST_WATCH_SHARE = 0.01;
 
-/** A version in doubt gets so many requests a second on a route that has failed, and half as many on others. */
-const QUESTIONED_PER_SECOND = 12;
+/**
+ * Requests per second for a version in doubt on a route with failures; other routes get half as
+ * many.
+ */
+const IN_DOUBT_PER_SECOND = 12;
 
-/** What is wanted of the watch is spread over the rest of it, over so long at least, in milliseconds. */
+/**
+ * The requests still wanted in the watch are spread over the rest of it, and over at least this
+ * time in milliseconds.
+ */
 const SHORTEST_WATCH_MS = 1_000;
 
-/** A route that has had its part leaves the rest to the others. */
+/** Share of a route in the ramp. A route with no runs left gets only the smallest share. */
 function rampShareOf(facts: RolloutFacts, route: RouteTraffic): number {
-  const comes = requestsIn(route, RAMP_MS);
+  const expected = requestsIn(route, RAMP_MS);
   if (rampRunsLeft(facts, route) === 0) {
     return LEAST_WATCH_SHARE;
   }
-  return comes > 0 ? rampRuns(facts, route) / comes : RAMP_SHARE;
+  return expected > 0 ? rampRuns(facts, route) / expected : RAMP_SHARE;
 }
 
 /**
- * Which part of each route's requests looks for the version first: what is wanted of the watch is spread over
- * the routes and over the rest of the time.
+ * Share of each route's requests that is offered to the version first. In the watch, the requests
+ * still wanted are spread over the routes and over the rest of the time.
  */
 export function sharesFor(phase: RolloutPhase, facts: RolloutFacts): ReadonlyMap<string, number> {
   const isNew = phase !== facts.phase;
@@ -57,37 +68,43 @@
     return new Map([[OTHER_ROUTES, RAMP_SHARE], ...shares]);
   }
   if (phase === RolloutPhase.Shift) {
-    const shares = facts.routes.map((route) => [route.route, lastShareOf(facts, route)] as const);
+    const shares = facts.routes.map((route) => [route.route, shiftShareOf(facts, route)] as const);
     return new Map([[OTHER_ROUTES, 1], ...shares]);
   }
   const perEarlyRun = phaseBudgetsOf(facts).watch / Math.max(1, totalRunsBeforeShift(facts));
-  const toldMs = facts.reportMs + SHORTEST_WATCH_MS;
-  const restMs = Math.max(SHORTEST_WATCH_MS, timeToDeadlineMs(facts) - rampStartMs(facts) - toldMs);
+  const reportingMs = facts.reportMs + SHORTEST_WATCH_MS;
+  const restMs = Math.max(
+    SHORTEST_WATCH_MS,
+    timeToDeadlineMs(facts) - rampStartMs(facts) - reportingMs,
+  );
   const shareOf = (route: RouteTraffic) => {
     if (isInDoubt(facts)) {
-      return questionedShareOf(route);
+      return inDoubtShareOf(route);
     }
-    const comes = requestsIn(route, restMs);
+    const expected = requestsIn(route, restMs);
     const wanted = perEarlyRun * runsBeforeShift(facts, route);
-    const share = comes > 0 ? (wanted - route.runs) / comes : 1;
+    const share = expected > 0 ? (wanted - route.runs) / expected : 1;
     return Math.min(1, Math.max(LEAST_WATCH_SHARE, share));
   };
   const shares = facts.routes.map((route) => [route.route, shareOf(route)] as const);
   return new Map([[OTHER_ROUTES, LEAST_WATCH_SHARE], ...shares]);
 }
 
-/** Until the limits are lifted: a route that has shown enough leaves the rest to the others. */
-function lastShareOf(facts: RolloutFacts, { runs, phaseRuns }: RouteTraffic): number {
-  const isShown = runs >= provenRuns(facts) && phaseRuns >= MIN_SHIFT_RUNS;
-  return isShown && facts.comparison.failed === 0 ? LEAST_WATCH_SHARE : 1;
+/**
+ * Share of a route in the shift until the limits are lifted: all of it, but only the smallest share
+ * once the route has enough runs and nothing has failed.
+ */
+function shiftShareOf(facts: RolloutFacts, { runs, phaseRuns }: RouteTraffic): number {
+  const hasEnoughRuns = runs >= provenRuns(facts) && phaseRuns >= MIN_SHIFT_RUNS;
+  return hasEnoughRuns && facts.comparison.failed === 0 ? LEAST_WATCH_SHARE : 1;
 }
 
-function questionedShareOf({ perSecond, failed }: RouteTraffic): number {
-  const wanted = failed > 0 ? QUESTIONED_PER_SECOND : QUESTIONED_PER_SECOND / 2;
+function inDoubtShareOf({ perSecond, failed }: RouteTraffic): number {
+  const wanted = failed > 0 ? IN_DOUBT_PER_SECOND : IN_DOUBT_PER_SECOND / 2;
   return perSecond > 0 ? Math.min(1, wanted / perSecond) : 1;
 }
 
-/** What the version may get now: each phase pays for its own. */
+/** Requests that the version may receive now; each phase has its own part of the budget. */
 export function allowanceFor(phase: RolloutPhase, facts: RolloutFacts): Allowance {
   const { exposure, routes } = facts;
   const { taken } = exposure;
@@ -101,13 +118,14 @@
         0,
       );
       const additional = phaseBudgetsOf(facts).watch - taken;
-      return { additional, additionalPerOwner: Math.ceil(perSecond) + LEAST_EACH, budget };
+      return { additional, additionalPerOwner: Math.ceil(perSecond) + EXTRA_PER_OWNER, budget };
     }
     case RolloutPhase.Ramp:
       return { additional: maxTakenAfterRamp(facts) - taken, additionalPerOwner, budget };
     case RolloutPhase.Halt:
       return { additional: 0, additionalPerOwner, budget };
-    // All requests go to the version from now on, and the bound pays for as many: for fewer it does so too.
+    // All requests go to the version from now on, and the budget covers all that are expected, so
+    // it also covers fewer.
     case RolloutPhase.Done:
       return {
         additional: Number.POSITIVE_INFINITY,
@@ -119,15 +137,21 @@
   }
 }
 
-/** True while no limit is to hold the version back: nobody else serves, or it is proven in the last step itself. */
+/**
+ * True while the version has no limit: all owners have it, the deadline is over, or the version is
+ * likely good by runs in the shift itself.
+ */
 export function isUnlimited(phase: RolloutPhase, facts: RolloutFacts): boolean {
-  const isAlone = facts.targets === facts.owners;
-  const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-  return isAlone || isPastDeadline(facts) || (isInLastStep && isLikelyGood(facts));
+  const isOnlyVersion = facts.targets === facts.owners;
+  const isShiftOrDone = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
+  return isOnlyVersion || isPastDeadline(facts) || (isShiftOrDone && isLikelyGood(facts));
 }
 
-/** True if the others may take nothing new in the last step: the version's owners turn hardly anything away. */
+/**
+ * True if the others may stop accepting new requests in the shift: the version has no limit or the
+ * budget covers the rest, so its owners reject hardly any request.
+ */
 export function canFenceOthers(phase: RolloutPhase, facts: RolloutFacts): boolean {
-  const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-  return isInLastStep && (isUnlimited(phase, facts) || isRestWithinBudget(facts));
+  const isShiftOrDone = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
+  return isShiftOrDone && (isUnlimited(phase, facts) || isRestWithinBudget(facts));
 }
--- a/src/rollout/rolloutDecider.ts
+++ b/src/rollout/rolloutDecider.ts
@@ -1,4 +1,4 @@
-/** One node's view of a roll-out as its decider: the owners' reports, and the next phase. */
+/** Decides the next phase of one roll-out, and its plan and limits, from the owners' reports. */
 import type { Clock } from '../model/clock.js';
 import type { ExposureBounds } from './exposure.js';
 import { createExposureLimits, type OwnerLimit } from './exposureLimits.js';
@@ -12,80 +12,93 @@
 import { createServiceTraffic } from './serviceTraffic.js';
 import { createVersionComparison } from './versionComparison.js';
 
-/** A report that is older, in milliseconds, says nothing of the present. */
+/** Milliseconds after which a report is too old to count as current. */
 const REPORT_LIFETIME_MS = 2_500;
 
-/** What the directory says of the service's owners. */
+/** Owners of the service, from the directory. */
 export interface ServiceOwners {
   /** Nodes whose back ends are up. */
   readonly up: readonly string[];
-  /** Milliseconds after which an owner that is not heard of is no longer waited for. */
+  /** Milliseconds without a report after which an owner is no longer waited for. */
   readonly contactMs: number;
 }
 
-/** What the decider knows of itself. */
+/** Properties of the node that runs the decider. */
 export interface DeciderEnvironment {
   readonly bounds: ExposureBounds;
   /** Milliseconds that a call to the store takes. */
   readonly storeMs: number;
 }
 
-/** A decision and what it was made from. */
+/** A decision, the facts behind it, and the plan and limits that follow from it. */
 export interface RolloutStep extends RolloutDecision {
   readonly facts: RolloutFacts;
   readonly plan: RolloutPlan;
-  /** Of the owners in the plan. */
+  /** Limits of the owners in the plan. */
   readonly limits: readonly OwnerLimit[];
   readonly isUnlimited: boolean;
-  /** Milliseconds since the newest and the oldest of the reports came that it rests on; undefined without any. */
+  /** Milliseconds since the newest of the current reports arrived; undefined if there are none. */
   readonly newestEvidenceMs: number | undefined;
+  /** Milliseconds since the oldest of the current reports arrived; undefined if there are none. */
   readonly oldestEvidenceMs: number | undefined;
 }
 
-/** Kept for one order. */
+/** The decider of one order. */
 export interface RolloutDecider {
-  /** A report of an order that is so old, in milliseconds, as far as any node knows. */
+  /**
+   * Adds a report. `orderAgeMs` is the age of the order in milliseconds, the greatest that any node
+   * has reported.
+   */
   addReport(report: EvidenceReport, orderAgeMs: number): void;
-  /** True if most owners have told this node lately. */
+  /** True if at least half of the owners that are up have reported to this node recently. */
   hasReportQuorum(owners: ServiceOwners): boolean;
   step(rollout: RunningRollout, owners: ServiceOwners, outside: DeciderEnvironment): RolloutStep;
-  /** Version of each owner that has told it. */
+  /** Version of each owner that has reported one recently. */
   readonly versions: readonly (readonly [node: string, version: string])[];
 }
 
-interface Heard {
+interface ReceivedReport {
   readonly report: EvidenceReport;
   readonly at: number;
-  /** How much younger the order was when it was made, in milliseconds, or its maker has learnt of it later. */
+  /**
+   * Milliseconds by which the report's age of the order is behind this node's: the time that the
+   * report took, or that its owner learned of the order later.
+   */
   readonly lateMs: number;
 }
 
-/** Part of the owners that must have told a node for it to act though it isn't the first by rank. */
-const TOLD_SHARE = 0.5;
+/**
+ * Share of the owners that must have reported to a node for it to lead without being first by rank.
+ */
+const QUORUM_SHARE = 0.5;
 
-/** In the last step all that is new goes to the version. */
+/** False from the shift on, when all new requests go to the version. */
 function areOthersServing({ phase }: RunningRollout): boolean {
   return phase !== RolloutPhase.Shift && phase !== RolloutPhase.Done;
 }
 
 export function createRolloutDecider(clock: Clock, targetVersion: string): RolloutDecider {
-  const heard = new Map<string, Heard>();
+  /** The newest report of each owner. */
+  const received = new Map<string, ReceivedReport>();
   const comparison = createVersionComparison();
   const traffic = createServiceTraffic();
   const limits = createExposureLimits();
-  /** The newest report of each count. */
+  /** Sequence number of the newest report of each count. */
   const sequences = new Map<string, number>();
-  /** Once the others take nothing new, it stays so to the end of the last step. */
+  /** True once the others accept nothing new; stays true until the end of the shift. */
   let isFenced = false;
-  /** Since when reports have come. */
+  /** Time at which the first report arrived. */
   let begunAt: number | undefined;
 
-  const heardLately = (): Heard[] =>
-    [...heard.values()].filter(({ at }) => clock.now() - at <= REPORT_LIFETIME_MS);
+  const currentlyReceived = (): ReceivedReport[] =>
+    [...received.values()].filter(({ at }) => clock.now() - at <= REPORT_LIFETIME_MS);
 
-  const lately = (): EvidenceReport[] => heardLately().map(({ report }) => report);
+  const currentReports = (): EvidenceReport[] => currentlyReceived().map(({ report }) => report);
 
-  /** Owners that are up and of whom it isn't known that they run nothing on another version. */
+  /**
+   * Number of owners that are up and may still run requests on another version. An owner whose
+   * report is missing counts until its contact time is over.
+   */
   const busyOthers = (
     reports: readonly EvidenceReport[],
     { up, contactMs }: ServiceOwners,
@@ -93,8 +106,8 @@
     const now = clock.now();
     const reporting = new Set(reports.map(({ node }) => node));
     const awaited = up.filter((node) => {
-      const heardAt = heard.get(node)?.at ?? begunAt ?? now;
-      return !reporting.has(node) && now - heardAt < contactMs;
+      const lastContactAt = received.get(node)?.at ?? begunAt ?? now;
+      return !reporting.has(node) && now - lastContactAt < contactMs;
     });
     const busy = reports.filter(
       ({ version, readyMs, isFenced, load }) =>
@@ -107,8 +120,11 @@
   const targetsOf = (reports: readonly EvidenceReport[]): EvidenceReport[] =>
     reports.filter(({ version, readyMs }) => version === targetVersion && readyMs !== undefined);
 
-  /** Those that are to get requests: one that may be a machine in trouble shows nothing of the version. */
-  const planned = (targets: readonly string[]): ReadonlySet<string> => {
+  /**
+   * Owners that are to receive requests. The suspect is left out unless it is the only one: its
+   * machine may be faulty, and its results would then show nothing about the version.
+   */
+  const ownersToPlan = (targets: readonly string[]): ReadonlySet<string> => {
     const { suspect } = comparison.summary;
     const others = targets.filter((node) => node !== suspect);
     return new Set(others.length > 0 ? others : targets);
@@ -119,7 +135,7 @@
     owners: ServiceOwners,
     { bounds, storeMs }: DeciderEnvironment,
   ): RolloutFacts => {
-    const reports = lately();
+    const reports = currentReports();
     const targets = targetsOf(reports);
     const routes = traffic.routes(phase, clock.now());
     const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
@@ -129,7 +145,7 @@
       ageMs,
       durationMs: order.durationMs,
       storeMs,
-      reportMs: medianOf(heardLately().map(({ lateMs }) => lateMs)),
+      reportMs: medianOf(currentlyReceived().map(({ lateMs }) => lateMs)),
       othersEndMs: comparison.othersEndMs,
       routes,
       exposure: {
@@ -161,13 +177,14 @@
       const now = clock.now();
       const { node, countId, sequence, version, counts, ageMs, phase } = report;
       const key = `${node} ${countId}`;
-      // A report may overtake an earlier one: whole counts that go back would be counted twice.
+      // A report may overtake an earlier one. As reports hold whole counts, adding the older one
+      // after the newer one would count requests twice.
       if (sequence <= (sequences.get(key) ?? -1)) {
         return;
       }
       sequences.set(key, sequence);
       begunAt ??= now;
-      heard.set(node, { report, at: now, lateMs: Math.max(0, orderAgeMs - ageMs) });
+      received.set(node, { report, at: now, lateMs: Math.max(0, orderAgeMs - ageMs) });
       if (version === undefined) {
         return;
       }
@@ -179,16 +196,17 @@
         limits.addReport(report);
       }
     },
-    hasReportQuorum: ({ up }) => up.length > 0 && lately().length >= up.length * TOLD_SHARE,
+    hasReportQuorum: ({ up }) =>
+      up.length > 0 && currentReports().length >= up.length * QUORUM_SHARE,
     step: (rollout, owners, outside) => {
       comparison.step(areOthersServing(rollout), clock.now());
       const facts = factsOf(rollout, owners, outside);
       const decision = decideRollout(facts);
       const { phase } = decision;
-      const isInLastStep = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
-      isFenced = isInLastStep && (isFenced || canFenceOthers(phase, facts));
-      const agesMs = heardLately().map(({ at }) => clock.now() - at);
-      const nodes = planned(targetsOf(lately()).map(({ node }) => node));
+      const isShiftOrDone = phase === RolloutPhase.Shift || phase === RolloutPhase.Done;
+      isFenced = isShiftOrDone && (isFenced || canFenceOthers(phase, facts));
+      const agesMs = currentlyReceived().map(({ at }) => clock.now() - at);
+      const nodes = ownersToPlan(targetsOf(currentReports()).map(({ node }) => node));
       limits.raiseLimits(nodes, allowanceFor(decision.phase, facts));
       return {
         ...decision,
@@ -201,14 +219,14 @@
       };
     },
     get versions() {
-      return lately().flatMap(({ node, version }) =>
+      return currentReports().flatMap(({ node, version }) =>
         version === undefined ? [] : [[node, version] as const],
       );
     },
   };
 }
 
-/** 0 without any. */
+/** The median; 0 for no values. */
 function medianOf(values: readonly number[]): number {
   const sorted = [...values].sort((one, other) => one - other);
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
--- a/src/rollout/rolloutDecision.ts
+++ b/src/rollout/rolloutDecision.ts
@@ -1,11 +1,12 @@
 /**
- * What becomes of a roll-out next: a pure function of what its decider knows.
+ * Decides the next phase of a roll-out: a pure function of the facts that its decider has.
  *
- * Each step is taken on what has been reported of it, never because its time is over: the version is watched
- * at a small share, gets a larger one, then all that is new, so that the others can finish what they run; at
- * `completed` they stop at once. The last step begins no sooner than the version may get every request until
- * the deadline without breaking its bound, whatever it makes of them. Where the end takes longer than that,
- * the version must have proved itself on each route first.
+ * Each phase ends on reports made in it, never because its time is over. The version is watched at
+ * a small share, gets a larger share (the ramp), then all new requests (the shift), so that the
+ * others can finish the requests they run; when the order is `completed` the others stop at once.
+ * The shift begins no sooner than the version may receive every request until the deadline without
+ * exceeding the bound, even if it fails all of them. Where the shift needs more time than that, the
+ * version must prove itself good on each route in it.
  */
 
 import { budgetNow, isWithinBudget, requestsIn } from './exposure.js';
@@ -35,22 +36,27 @@
 import { canBeProven, isProven } from './rolloutProof.js';
 import type { ComparisonSummary } from './versionComparison.js';
 
-/** A version that has come late is watched for this part of the duration after it has come, ... */
+/** A version that came up late is watched for this share of the duration after it came up. */
 const LATE_WATCHED_SHARE = 0.45;
 
-/** ... though no longer than until this part of the duration is over, if it came before that. */
+/**
+ * Share of the duration at which the watch of a late version ends at the latest, if the version
+ * came up before that time.
+ */
 const LAST_START_SHARE = 0.8;
 
-/** The same without the back end that the evidence rests on most. */
+/**
+ * Like DOUBT_WEIGHT, but for the weight without the back end that contributes most to the evidence.
+ */
 const DOUBT_WITHOUT_ONE = 2;
 
-/** Part of the owners of the service that must have reported lately for a step forward. */
+/** Share of the service's owners that must have reported recently for a step beyond the watch. */
 const QUORUM = 0.6;
 
-/** What is left of the bound in the last step must last for this time at least, in milliseconds. */
-const LEAST_LEFT_MS = 50;
+/** Milliseconds of requests that the rest of the budget must cover in the shift. */
+const MIN_COVERED_MS = 50;
 
-/** The phase to be in, and why. */
+/** The next phase and the reason for it. */
 export interface RolloutDecision {
   readonly phase: RolloutPhase;
   readonly reason: string;
@@ -65,7 +71,7 @@
     const doubt = comparison.comparedDoubt ?? `${comparison.measure} ${comparison.route}`;
     return { phase: RolloutPhase.Halt, reason: `in doubt at the deadline: ${doubt}` };
   }
-  const obstacle = obstacleTo(facts);
+  const obstacle = obstacleOf(facts);
   if (obstacle) {
     return { phase: RolloutPhase.Watch, reason: obstacle };
   }
@@ -79,8 +85,8 @@
   }
 }
 
-/** True for a version that may get every request until the deadline, or for which no bound holds any longer. */
-function mayBegin(facts: RolloutFacts): boolean {
+/** True if the budget covers every request until the deadline, or the deadline is over. */
+function canBeginShift(facts: RolloutFacts): boolean {
   const { phase, exposure } = facts;
   const taken = Math.max(
     exposure.taken,
@@ -93,31 +99,35 @@
 }
 
 /**
- * Once its last steps cannot be over by the deadline, a good version is late in any case, and a bad one must
- * not stay.
+ * True if the version is in doubt in the watch when the time left no longer covers the shift. A
+ * good version would miss the deadline in any case, and a bad one must not stay.
  */
 function isDoubtedAtDeadline(facts: RolloutFacts): boolean {
   const { phase, comparison, ageMs, durationMs } = facts;
-  const isLastMoment = timeToDeadlineMs(facts) <= minShiftMs(facts) && ageMs < durationMs;
+  const isShiftTooLate = timeToDeadlineMs(facts) <= minShiftMs(facts) && ageMs < durationMs;
   const { weight, weightWithoutOne, comparedDoubt } = comparison;
   const isDoubted =
     (weight >= DOUBT_WEIGHT && weightWithoutOne >= DOUBT_WITHOUT_ONE) ||
     comparedDoubt !== undefined;
-  return phase === RolloutPhase.Watch && isLastMoment && isDoubted;
+  return phase === RolloutPhase.Watch && isShiftTooLate && isDoubted;
 }
 
-/** A machine in trouble whose failures are all there are is no doubt of the version. */
-function isWeighty({ weight, weightWithoutOne, suspect }: ComparisonSummary): boolean {
+/**
+ * True for evidence that puts the version in doubt; failures of a single suspected machine do not.
+ */
+function hasDoubtfulWeight({ weight, weightWithoutOne, suspect }: ComparisonSummary): boolean {
   return weight >= DOUBT_WEIGHT && (suspect === undefined || weightWithoutOne >= DOUBT_WITHOUT_ONE);
 }
 
-/** Why the version must not get more than a small share now, if so. */
-function obstacleTo(facts: RolloutFacts): string | undefined {
+/**
+ * The reason why the version must get no more than a small share now; undefined if there is none.
+ */
+function obstacleOf(facts: RolloutFacts): string | undefined {
   const { comparison, targets, targetSlots, otherSlots, demand, owners, reporting } = facts;
   if (targets === 0 || facts.targetAgeMs === undefined) {
     return 'no back end of the version is up';
   }
-  if (isWeighty(comparison)) {
+  if (hasDoubtfulWeight(comparison)) {
     return `in doubt: ${comparison.measure} ${comparison.route}`;
   }
   if (comparison.doubt !== undefined) {
@@ -126,7 +136,8 @@
   if (reporting < owners * QUORUM) {
     return `${reporting} of ${owners} owners report`;
   }
-  // In an overload nobody has room for all: the version is to have no less than the others.
+  // In an overload no version has slots for all requests; as many slots as the others have are
+  // enough.
   if (targetSlots < Math.min(demand, otherSlots)) {
     return `${targetSlots} slots for ${demand} requests`;
   }
@@ -134,17 +145,18 @@
 }
 
 function afterWatch(facts: RolloutFacts): RolloutDecision {
-  const watched = (reason: string) => ({ phase: RolloutPhase.Watch, reason });
+  const keepWatching = (reason: string) => ({ phase: RolloutPhase.Watch, reason });
   if (timeToDeadlineMs(facts) > rampStartMs(facts) || facts.ageMs < lateStartMs(facts)) {
-    return watched('being watched');
+    return keepWatching('being watched');
   }
   const missing = undersampledRouteInWatch(facts);
-  // At the last moment the ramp brings the evidence that the watch has not, and the bound pays for the rest.
+  // Shortly before the deadline the version goes on regardless: the ramp brings the evidence
+  // missing from the watch, and the budget covers the rest.
   if (missing !== undefined && timeToDeadlineMs(facts) > RAMP_MS + requiredShiftMs(facts)) {
-    return watched(`too little evidence of ${missing}`);
+    return keepWatching(`too little evidence on ${missing}`);
   }
   if (isTooLate(facts)) {
-    return watched('the last step cannot be over in time');
+    return keepWatching('the shift cannot end before the deadline');
   }
   return phaseBudgetsOf(facts).ramp > 0
     ? { phase: RolloutPhase.Ramp, reason: 'watched long enough' }
@@ -152,24 +164,30 @@
 }
 
 function afterRamp(facts: RolloutFacts): RolloutDecision {
-  const ramped = (reason: string) => ({ phase: facts.phase, reason });
+  const keepPhase = (reason: string) => ({ phase: facts.phase, reason });
   const missing = undersampledRouteInRamp(facts);
   if (missing !== undefined) {
-    return ramped(`waits for reports of ${missing}`);
+    return keepPhase(`waiting for reports on ${missing}`);
   }
   if (isTooLate(facts)) {
-    return { phase: RolloutPhase.Watch, reason: 'the last step cannot be over in time' };
+    return { phase: RolloutPhase.Watch, reason: 'the shift cannot end before the deadline' };
   }
-  if (mayBegin(facts)) {
-    return { phase: RolloutPhase.Shift, reason: 'well at the larger share' };
+  if (canBeginShift(facts)) {
+    return { phase: RolloutPhase.Shift, reason: 'no obstacle at the larger share' };
   }
   if (canBeProven(facts) && timeToDeadlineMs(facts) <= shiftStartMs(facts, facts.exposure)) {
-    return { phase: RolloutPhase.Shift, reason: 'well at the larger share, to be proven' };
+    return {
+      phase: RolloutPhase.Shift,
+      reason: 'no obstacle at the larger share; to be proven in the shift',
+    };
   }
-  return ramped('too early for the bound');
+  return keepPhase('too early for the bound');
 }
 
-/** After the deadline no bound holds any longer: until then all requests would go to the version for nothing. */
+/**
+ * True if the shift cannot end before the deadline: beginning it would send all requests to the
+ * version to no purpose. False after the deadline, when the bound no longer applies.
+ */
 function isTooLate(facts: RolloutFacts): boolean {
   const left = timeToDeadlineMs(facts);
   return left > 0 && left < minShiftMs(facts);
@@ -178,30 +196,33 @@
 function afterShift(facts: RolloutFacts): RolloutDecision {
   const { phase, busyOthers, exposure, isFenced } = facts;
   const isSafe = isRestWithinBudget(facts) || isProven(facts);
-  const least = requestsIn(exposure, LEAST_LEFT_MS);
-  const isHeld = !isSafe && !isLikelyGood(facts) && timeToDeadlineMs(facts) > 0;
-  if (isHeld && isFenced && budgetNow(exposure) - exposure.taken < least) {
-    return { phase: RolloutPhase.Watch, reason: 'nothing is left of the bound' };
+  const least = requestsIn(exposure, MIN_COVERED_MS);
+  const mustWait = !isSafe && !isLikelyGood(facts) && timeToDeadlineMs(facts) > 0;
+  if (mustWait && isFenced && budgetNow(exposure) - exposure.taken < least) {
+    return { phase: RolloutPhase.Watch, reason: 'the budget is used up' };
   }
   const missing = undersampledRouteInShift(facts);
   if (missing !== undefined) {
-    return { phase, reason: `waits for reports of ${missing}` };
+    return { phase, reason: `waiting for reports on ${missing}` };
   }
-  if (isHeld) {
+  if (mustWait) {
     return { phase, reason: 'too early for the bound' };
   }
   if (busyOthers > 0) {
     return { phase, reason: `${busyOthers} owners of other versions still run requests` };
   }
   return isSafe
-    ? { phase: RolloutPhase.Done, reason: 'the others run nothing' }
+    ? { phase: RolloutPhase.Done, reason: 'owners of other versions run nothing' }
     : { phase, reason: 'too early for the bound' };
 }
 
-/** Age of the order at which a version that came late gets more, in milliseconds; 0 for one that came in time. */
+/**
+ * Age of the order, in milliseconds, before which the watch must not end. It matters only for a
+ * version that came up late.
+ */
 function lateStartMs({ ageMs, durationMs, targetAgeMs = 0 }: RolloutFacts): number {
-  const cameMs = ageMs - targetAgeMs;
-  const lateMs = cameMs + durationMs * LATE_WATCHED_SHARE;
+  const firstReadyAtMs = ageMs - targetAgeMs;
+  const lateMs = firstReadyAtMs + durationMs * LATE_WATCHED_SHARE;
   const last = durationMs * LAST_START_SHARE;
-  return cameMs < last ? Math.min(lateMs, last) : lateMs;
+  return firstReadyAtMs < last ? Math.min(lateMs, last) : lateMs;
 }
--- a/src/rollout/rolloutFacts.ts
+++ b/src/rollout/rolloutFacts.ts
@@ -1,4 +1,4 @@
-/** What the decider of a roll-out knows, and the time that the last step needs. Times in milliseconds. */
+/** The facts that the decider of a roll-out decides on, and the time that the shift needs. */
 
 import { type Exposure, isWithinBudget } from './exposure.js';
 import { RolloutPhase } from './rolloutOrder.js';
@@ -6,87 +6,107 @@
 import type { ComparisonSummary } from './versionComparison.js';
 
 /**
- * What the last step needs besides its reports, its status and what the others run, in milliseconds: the
- * word to all nodes, the first reports of the step and a look at them.
+ * Milliseconds that the shift needs besides the delay of reports, the end of the others' requests
+ * and the write of the status: for the announcement to all nodes, the first reports of the shift
+ * and a decision on them.
  */
 const TURN_MS = 200;
 
-/** And what is kept for a node that is late for a moment. */
+/** Milliseconds kept in reserve for a node that is late for a moment. */
 export const RESERVE_MS = 300;
 
-/** Evidence against the version with which it gets nothing more for now, though it isn't bad yet. */
+/**
+ * Weight of the evidence against the version from which on it is in doubt: it gets no larger share
+ * for now, though it is not considered bad yet.
+ */
 export const DOUBT_WEIGHT = 4;
 
-/** Owners with the version report about so often in the last step, in milliseconds. */
+/**
+ * Approximate time between two reports of an owner with the version in the shift, in milliseconds.
+ */
 export const REPORT_INTERVAL_MS = 100;
 
-/** What the decider knows. Times are in milliseconds. */
+/** Facts about a roll-out at one moment. Times are in milliseconds. */
 export interface RolloutFacts {
   readonly phase: RolloutPhase;
   readonly phaseAgeMs: number;
-  /** Since the order. */
+  /** Time since the order. */
   readonly ageMs: number;
   readonly durationMs: number;
-  /** How late the order may have been learnt of, and how long its status takes to write. */
+  /**
+   * Time that a call to the store takes: the node may have learned of the order that late, and the
+   * write of its status takes as long.
+   */
   readonly storeMs: number;
-  /** How old reports are when they come. */
+  /** Median age of reports when they arrive. */
   readonly reportMs: number;
-  /** In which nearly all requests end at the others. */
+  /** Time within which nearly all requests end at the others. */
   readonly othersEndMs: number;
-  /** Since the version was first there; undefined while it never was. */
+  /** Time since a back end of the version was first ready; undefined while none is. */
   readonly targetAgeMs: number | undefined;
   readonly comparison: ComparisonSummary;
   readonly routes: readonly RouteTraffic[];
   readonly exposure: Exposure;
-  /** Owners of the service that are up, and those of them that have reported lately. */
+  /** Owners of the service that are up. */
   readonly owners: number;
+  /** Owners that have reported recently. */
   readonly reporting: number;
-  /** Owners with the target version that are up, and their slots. */
+  /** Owners whose back end has the target version and is ready. */
   readonly targets: number;
+  /** Slots of these owners. */
   readonly targetSlots: number;
-  /** Slots of the owners of other versions that are ready. */
+  /** Slots of the owners of other versions whose back end is ready. */
   readonly otherSlots: number;
-  /** True if the others have been told to take nothing new. */
+  /** True if the plan tells the owners of other versions to accept nothing new. */
   readonly isFenced: boolean;
-  /** Requests that all owners of the service have and work on. */
+  /** Requests that run or wait at all owners of the service. */
   readonly demand: number;
-  /** Owners of other versions that still run something or take new work, as far as known. */
+  /** Owners of other versions that still run requests or accept new ones, or may do so. */
   readonly busyOthers: number;
 }
 
-/** Milliseconds until the deadline; the order may have been learnt of late. */
+/**
+ * Milliseconds until the deadline, less the time by which the order may have been learned of late.
+ */
 export function timeToDeadlineMs({ durationMs, ageMs, storeMs }: RolloutFacts): number {
   return durationMs - ageMs - storeMs;
 }
 
-/** Time that the last step needs for its end, with nothing in reserve. */
+/** Milliseconds that the shift needs to end, with nothing in reserve. */
 export function minShiftMs({ reportMs, othersEndMs, storeMs }: RolloutFacts): number {
   return TURN_MS + reportMs + othersEndMs + storeMs;
 }
 
+/** Milliseconds that the shift needs to end, with the reserve. */
 export function requiredShiftMs(facts: RolloutFacts): number {
   return minShiftMs(facts) + RESERVE_MS;
 }
 
-/** What speaks against the version, but not enough, is to be settled soon. */
+/**
+ * True if there is evidence against the version, but not enough to call it bad. Such a doubt is to
+ * be settled soon.
+ */
 export function isInDoubt({ comparison }: RolloutFacts): boolean {
   return comparison.doubt !== undefined || comparison.weight >= DOUBT_WEIGHT;
 }
 
-/** The bound holds until the deadline. */
+/** True after the deadline, when the bound on exposure no longer applies. */
 export function isPastDeadline({ ageMs, durationMs }: RolloutFacts): boolean {
   return ageMs >= durationMs;
 }
 
-/** Time until the deadline, with that of the last step of which nothing has been told yet. */
+/**
+ * Milliseconds whose requests no report covers yet: those until the deadline, and in the shift
+ * those that have passed since the latest reports.
+ */
 export function unreportedMs(facts: RolloutFacts): number {
   const { phase, phaseAgeMs, reportMs, durationMs, ageMs } = facts;
-  const untold =
+  const notYetReported =
     phase === RolloutPhase.Shift ? Math.min(phaseAgeMs, reportMs + REPORT_INTERVAL_MS) : 0;
-  return Math.max(0, durationMs - ageMs) + untold;
+  return Math.max(0, durationMs - ageMs) + notYetReported;
 }
 
-/** True if all requests may go to the version until the deadline, or no bound holds any longer. */
+/** True if the budget covers all requests until the deadline, or the deadline is over. */
 export function isRestWithinBudget(facts: RolloutFacts): boolean {
   return isPastDeadline(facts) || isWithinBudget(facts.exposure, unreportedMs(facts));
 }
--- a/src/rollout/rolloutOrder.ts
+++ b/src/rollout/rolloutOrder.ts
@@ -1,44 +1,46 @@
-/** What operators order of a roll-out, how far it has come, and what its status says of it. */
+/** An operator's order for a roll-out, its phases, and the status that the nodes write for it. */
 
-/** What the status of an order says. */
+/** State in the status of an order. */
 export enum RolloutState {
   Running = 'running',
   Completed = 'completed',
   RolledBack = 'rolled_back',
 }
 
-/** The traffic of a service is to move to the back ends of a version. */
+/** An order to move the traffic of a service to the back ends of a version. */
 export interface RolloutOrder {
   readonly service: string;
   readonly targetVersion: string;
   /** Milliseconds from the order to its deadline. */
   readonly durationMs: number;
-  /** The same for as long as it is this order that stands, whatever becomes of its status. */
+  /** Id of the order; it does not change with the status. */
   readonly id: string;
-  /** Undefined until a status was written for this order. */
+  /** Undefined until a status has been written for this order. */
   readonly state: RolloutState | undefined;
 }
 
-/** How far the nodes have come with an order, each told by the decider. */
+/** Phase of an order, announced by the leader. */
 export enum RolloutPhase {
   /** The target version gets a small share, and is compared with the others. */
   Watch = 1,
-  /** It gets a larger one, for a moment. */
+  /** The target version gets a larger share for a short time. */
   Ramp = 2,
-  /** It gets everything new; the others finish what they run. */
+  /** The target version gets all new requests; the others finish those they run. */
   Shift = 3,
-  /** It gets nothing: it is bad. */
+  /** The target version gets no requests, as it is bad. */
   Halt = 4,
-  /** It is done: the others stop. */
+  /** The roll-out is completed; the others stop. */
   Done = 5,
 }
 
-/** Phases in which the nodes go back to `Watch` by themselves unless they are told again. */
+/**
+ * True for phases that fall back to `Watch` on each node unless the leader announces them again.
+ */
 export function isLeased(phase: RolloutPhase): boolean {
   return phase === RolloutPhase.Ramp || phase === RolloutPhase.Shift;
 }
 
-/** What the status of an order tells the operator. */
+/** The status of an order, as the operator reads it. */
 export interface RolloutStatus {
   readonly targetVersion: string;
   readonly state: RolloutState;
--- a/src/rollout/rolloutPlan.ts
+++ b/src/rollout/rolloutPlan.ts
@@ -1,19 +1,23 @@
-/** What the nodes are to do with a version until they are told again. */
+/**
+ * The plan that the leader sends with each phase; the nodes follow it until the next one arrives.
+ */
 
-/** Stands for all routes that are not named. */
+/** Key in `shares` for all routes that have no entry of their own. */
 export const OTHER_ROUTES = '';
 
-/** Told with each phase. */
 export interface RolloutPlan {
-  /** Part of the requests of each route that look for the version first, from 0 to 1. */
+  /** By route, the share (0 to 1) of requests that are offered to the version's owners first. */
   readonly shares: ReadonlyMap<string, number>;
-  /** Owners with the version that keep to their limits: no others are offered anything. */
+  /** Owners with the version that enforce their limits; no other owner with it gets offers. */
   readonly owners: ReadonlySet<string>;
-  /** In the last step: the others take nothing new. Until then they take what the version's owners turn away. */
+  /**
+   * True in the shift once owners of other versions accept nothing new. Until then they receive the
+   * requests that the version's owners reject.
+   */
   readonly isFenced: boolean;
 }
 
-/** The part of a route's requests that look for the version first. */
+/** Share of a route's requests that are offered to the version's owners first. */
 export function shareOf({ shares }: RolloutPlan, route: string): number {
   return shares.get(route) ?? shares.get(OTHER_ROUTES) ?? 0;
 }
--- a/src/rollout/runLimiter.ts
+++ b/src/rollout/runLimiter.ts
@@ -1,46 +1,50 @@
 /**
- * How many requests an owner gives its back end of the target version. The decider raises the limits of all
- * owners together, never above what the version may get by then: however the requests are spread, however
- * late reports and words are, the sum stays inside the bound.
+ * Limits the requests that an owner passes to its back end of the target version. The leader raises
+ * the limits of all owners so that their sum never exceeds the budget at that time. The sum
+ * therefore stays within the bound however requests are spread over the owners and however late
+ * messages arrive.
  */
 
-/** What the decider allows. */
+/** A limit as the leader sends it. */
 export interface RunLimit {
-  /** Requests in all, since the count began. */
+  /** Total number of requests since the count began. */
   readonly limit: number;
-  /** True while there is no limit: the version has proved itself, or nobody else can serve. */
+  /**
+   * True while there is no limit: the version is likely good, all owners have it, or the deadline
+   * is over.
+   */
   readonly isUnlimited: boolean;
 }
 
-/** Kept by an owner for each order. */
+/** The limiter that an owner keeps for each order. */
 export interface RunLimiter {
-  /** Requests that were let through and not given back. */
+  /** Requests that were admitted and not released. */
   readonly taken: number;
   readonly limit: number;
-  /** True once a decider has told a limit. */
+  /** True once a leader has sent a limit. */
   readonly hasLimit: boolean;
-  /** Lets a request through, if it may go on. */
+  /** Admits a request if the limit allows it. */
   tryAcquire(): boolean;
-  /** A request that was let through has not reached the back end. */
+  /** Returns the place of an admitted request that did not reach the back end. */
   release(): void;
   raiseLimit(allowed: RunLimit): void;
 }
 
-/** A request that a roll-out lets through to the back end. */
+/** Permit for a request that a roll-out admits to the back end. */
 export interface RunPermit {
-  /** It has ended; `hasArrived` is false if it has certainly not reached the back end. */
+  /** Ends the request; `hasArrived` is false if it certainly did not reach the back end. */
   finish(hasArrived: boolean): void;
 }
 
-/** No roll-out has anything to say of the request. */
+/** Permit for a request that no roll-out limits. */
 export const UNCONDITIONAL_PERMIT: RunPermit = { finish: () => {} };
 
-/** Nothing passes before the first word of a decider. */
+/** Creates a limiter that admits nothing until the first limit arrives. */
 export function createRunLimiter(): RunLimiter {
   let taken = 0;
   let limit = 0;
-  let isOpen = false;
-  let isTold = false;
+  let isUnlimited = false;
+  let hasLimit = false;
   return {
     get taken() {
       return taken;
@@ -49,10 +53,10 @@
       return limit;
     },
     get hasLimit() {
-      return isTold;
+      return hasLimit;
     },
     tryAcquire: () => {
-      if (!isOpen && taken >= limit) {
+      if (!isUnlimited && taken >= limit) {
         return false;
       }
       taken += 1;
@@ -62,10 +66,11 @@
       taken -= 1;
     },
     raiseLimit: (allowed) => {
-      // Words may overtake one another, and a limit that was given has been spent.
+      // Messages may overtake one another, and the owner may have used up a limit that it was
+      // given.
       limit = Math.max(limit, allowed.limit);
-      isOpen = allowed.isUnlimited;
-      isTold = true;
+      isUnlimited = allowed.isUnlimited;
+      hasLimit = true;
     },
   };
 }
