--- a/src/rollout/rolloutMessages.ts
+++ b/src/rollout/rolloutMessages.ts
@@ -1,4 +1,6 @@
-/** What nodes tell one another of a roll-out, and how it travels: as lists, in a fixed order. */
+/**
+ * Messages between nodes about roll-outs, and their encoding as lists with a fixed order of fields.
+ */
 import { isNonNegativeNumber } from '../codec/numberGuards.js';
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
@@ -6,7 +8,7 @@
 import type { CountsByRoute, RouteCounts } from './runCounts.js';
 import type { RunLimit } from './runLimiter.js';
 
-/** Shares travel as whole numbers of thousandths. */
+/** Shares are encoded as whole numbers of thousandths. */
 const SHARE_UNITS = 1_000;
 
 export enum RolloutMessageKind {
@@ -16,53 +18,59 @@
   Limit = 4,
 }
 
-/** From the decider to all: the phase, its plan, and which version each owner of the service has. */
+/**
+ * Announcement by the leader: the phase, its plan, and the version of each owner of the service.
+ */
 export interface PhaseMessage extends PhaseUpdate {
   readonly kind: RolloutMessageKind.Phase;
-  /** Node that decides. */
+  /** Node that is the leader. */
   readonly leader: string;
   readonly versions: readonly (readonly [node: string, version: string])[];
 }
 
-/** From the decider to an owner with the target version: how many requests it may give its back end. */
+/** From the leader to an owner with the target version: the limit of requests for its back end. */
 export interface LimitMessage extends RunLimit {
   readonly kind: RolloutMessageKind.Limit;
   readonly service: string;
   readonly orderId: string;
   readonly node: string;
-  /** Of the count that the limit is for. */
+  /** Id of the count that the limit applies to. */
   readonly countId: string;
 }
 
-/** From an owner to the decider: what its back end has made of its requests, in all since the order. */
+/** From an owner to the leader: how requests ended at its back end, as totals since the order. */
 export interface EvidenceReport {
   readonly kind: RolloutMessageKind.Evidence;
   readonly service: string;
   readonly orderId: string;
-  /** Milliseconds since the order, as far as the owner knows. */
+  /** Milliseconds since the order, by the owner's information. */
   readonly ageMs: number;
   readonly node: string;
-  /** In which the owner is as it tells this. */
+  /** Phase that the owner is in when it makes the report. */
   readonly phase: RolloutPhase;
-  /** Another one when the owner counts anew, as after a restart. */
+  /** Changes when the owner's counts start from zero, as after a restart. */
   readonly countId: string;
-  /** Rises with each report of a count. */
+  /** Rises with each report with the same `countId`. */
   readonly sequence: number;
   readonly version: string | undefined;
-  /** Milliseconds since the back end was first ready under this order; undefined while it isn't ready. */
+  /**
+   * Milliseconds since the back end was first ready under this order; undefined while it isn't
+   * ready.
+   */
   readonly readyMs: number | undefined;
   readonly slots: number;
   /** Requests that run or wait at the owner. */
   readonly load: number;
-  /** True if the owner takes nothing new, since its back end is to stop. */
+  /** True if the owner accepts nothing new because its back end is to stop. */
   readonly isFenced: boolean;
-  /** Requests that the owner has given its back end of the target version, and what it may. */
+  /** Requests that the owner has passed to its back end of the target version. */
   readonly taken: number;
+  /** Limit of `taken`. */
   readonly limit: number;
   readonly counts: CountsByRoute;
 }
 
-/** From a decider that the store refuses, to all. */
+/** Announcement by a leader that gives up deciding because the store refuses its writes. */
 export interface ResignationMessage {
   readonly kind: RolloutMessageKind.Resignation;
   readonly service: string;
@@ -71,68 +79,70 @@
 
 export type RolloutMessage = PhaseMessage | EvidenceReport | ResignationMessage | LimitMessage;
 
-/** Renders news as a list. */
-export function encodeRolloutMessage(news: RolloutMessage): unknown[] {
-  switch (news.kind) {
+/** Encodes a message as a list. */
+export function encodeRolloutMessage(message: RolloutMessage): unknown[] {
+  switch (message.kind) {
     case RolloutMessageKind.Phase:
       return [
-        news.kind,
-        news.service,
-        news.orderId,
-        Math.round(news.ageMs),
-        news.phase,
-        news.versions,
-        news.leader,
-        news.plan && listOfPlan(news.plan),
+        message.kind,
+        message.service,
+        message.orderId,
+        Math.round(message.ageMs),
+        message.phase,
+        message.versions,
+        message.leader,
+        message.plan && encodePlan(message.plan),
       ];
     case RolloutMessageKind.Evidence:
       return [
-        news.kind,
-        news.service,
-        news.orderId,
-        Math.round(news.ageMs),
-        news.node,
-        news.phase,
-        news.countId,
-        news.sequence,
-        news.version,
-        news.readyMs === undefined ? undefined : Math.round(news.readyMs),
-        news.slots,
-        news.load,
-        news.isFenced,
-        news.taken,
-        news.limit,
-        [...news.counts].map(([route, { answered, failed, crashes, durations, cancellations }]) => [
-          route,
-          answered,
-          failed,
-          crashes,
-          durations,
-          cancellations,
-        ]),
+        message.kind,
+        message.service,
+        message.orderId,
+        Math.round(message.ageMs),
+        message.node,
+        message.phase,
+        message.countId,
+        message.sequence,
+        message.version,
+        message.readyMs === undefined ? undefined : Math.round(message.readyMs),
+        message.slots,
+        message.load,
+        message.isFenced,
+        message.taken,
+        message.limit,
+        [...message.counts].map(
+          ([route, { answered, failed, crashes, durations, cancellations }]) => [
+            route,
+            answered,
+            failed,
+            crashes,
+            durations,
+            cancellations,
+          ],
+        ),
       ];
     case RolloutMessageKind.Resignation:
-      return [news.kind, news.service, news.node];
+      return [message.kind, message.service, message.node];
     case RolloutMessageKind.Limit:
       return [
-        news.kind,
-        news.service,
-        news.orderId,
-        news.node,
-        news.countId,
-        news.limit,
-        news.isUnlimited,
+        message.kind,
+        message.service,
+        message.orderId,
+        message.node,
+        message.countId,
+        message.limit,
+        message.isUnlimited,
       ];
   }
 }
 
-/** As many bytes as it needs: shares are told in thousandths. */
-function listOfPlan({ shares, owners, isFenced }: RolloutPlan): unknown[] {
+/** Encodes a plan; shares become whole thousandths, which take fewer bytes. */
+function encodePlan({ shares, owners, isFenced }: RolloutPlan): unknown[] {
   const rounded = [...shares].map(([route, share]) => [route, Math.round(share * SHARE_UNITS)]);
   return [rounded, [...owners], isFenced];
 }
 
-/** Reads a list; undefined when it is no news. */
+/** Decodes a list; undefined if it is not a valid message. */
 export function decodeRolloutMessage(value: unknown): RolloutMessage | undefined {
   if (!Array.isArray(value) || typeof value[1] !== 'string') {
     return undefined;
@@ -162,8 +172,8 @@
     return undefined;
   }
   const plan = readPlan(planList);
-  const told = { ...head, kind: RolloutMessageKind.Phase as const, phase, leader };
-  return { ...told, versions: versions.filter(isPair), ...(plan ? { plan } : {}) };
+  const message = { ...head, kind: RolloutMessageKind.Phase as const, phase, leader };
+  return { ...message, versions: versions.filter(isPair), ...(plan ? { plan } : {}) };
 }
 
 function readPlan(value: unknown): RolloutPlan | undefined {
@@ -186,12 +196,12 @@
   value: readonly unknown[],
 ): LimitMessage | undefined {
   const [node, countId, limit, isUnlimited] = value.slice(3);
-  const isRead =
+  const isValid =
     typeof node === 'string' &&
     typeof countId === 'string' &&
     isNonNegativeNumber(limit) &&
     typeof isUnlimited === 'boolean';
-  return isRead
+  return isValid
     ? { ...head, kind: RolloutMessageKind.Limit, node, countId, limit, isUnlimited }
     : undefined;
 }
@@ -209,11 +219,11 @@
   if (!isPhase(phase) || typeof countId !== 'string' || !isNonNegativeNumber(sequence)) {
     return undefined;
   }
-  const isKnown = isTextOrNone(version) && isAmountOrNone(readyMs);
-  const isLimited = isNonNegativeNumber(taken) && isNonNegativeNumber(limit);
-  // A load that cannot be read must not pass for none: an owner that runs nothing may be stopped.
+  const isBackEndValid = isTextOrNone(version) && isAmountOrNone(readyMs);
+  const isLimitValid = isNonNegativeNumber(taken) && isNonNegativeNumber(limit);
+  // An invalid load must not be read as 0: an owner without load may be stopped.
   if (
-    !isKnown ||
+    !isBackEndValid ||
     !isNonNegativeNumber(slots) ||
     !isNonNegativeNumber(load) ||
     typeof isFenced !== 'boolean'
@@ -221,26 +231,26 @@
     return undefined;
   }
   const counts = routes.map(readRoute);
-  if (!isLimited || !counts.every((each) => each !== undefined)) {
+  if (!isLimitValid || !counts.every((each) => each !== undefined)) {
     return undefined;
   }
   const kind = RolloutMessageKind.Evidence;
-  const back = { version, readyMs, slots, load, isFenced, taken, limit };
-  return { ...head, kind, node, phase, countId, sequence, ...back, counts: new Map(counts) };
+  const backEnd = { version, readyMs, slots, load, isFenced, taken, limit };
+  return { ...head, kind, node, phase, countId, sequence, ...backEnd, counts: new Map(counts) };
 }
 
 function readRoute(value: unknown): [string, RouteCounts] | undefined {
   const [route, answered, failed, crashes, durations, cancellations] = Array.isArray(value)
     ? value
     : [];
-  const isRead =
+  const isValid =
     typeof route === 'string' &&
     isNonNegativeNumber(answered) &&
     isNonNegativeNumber(failed) &&
     isNonNegativeNumber(crashes) &&
     isAmounts(durations) &&
     isAmounts(cancellations);
-  return isRead ? [route, { answered, failed, crashes, durations, cancellations }] : undefined;
+  return isValid ? [route, { answered, failed, crashes, durations, cancellations }] : undefined;
 }
 
 function isPhase(value: unknown): value is RolloutPhase {
--- a/src/rollout/rolloutTracker.ts
+++ b/src/rollout/rolloutTracker.ts
@@ -1,34 +1,44 @@
-/** What one node knows of the roll-outs that stand: their orders, their phases, and how old that is. */
+/**
+ * Tracks the roll-outs on one node: their orders from the store, the phases that the leader
+ * announces, and the age of that information.
+ */
 import type { Clock } from '../model/clock.js';
 import { isLeased, type RolloutOrder, RolloutPhase, RolloutState } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
 import type { RolloutView } from './versionRules.js';
 
-/** A phase in which the version gets more ends by itself unless it is told again within this time, in milliseconds. */
+/**
+ * Milliseconds after which a phase with a larger share ends on its own unless the leader announces
+ * it again.
+ */
 export const PHASE_LEASE_MS = 1_600;
 
-/** A plan of the watch holds for so long, in milliseconds: it is told more than twice in that time. */
+/**
+ * Lifetime of a plan of the watch in milliseconds; it is announced more than twice in that time.
+ */
 const PLAN_LIFETIME_MS = 5_000;
 
 /**
- * So long after its completion, in milliseconds, an order says no more of the service: the others are
- * gone, and a version that appears later is a plain release.
+ * Milliseconds after completion when an order no longer applies: the other versions are gone, and a
+ * version that appears later is an ordinary release.
  */
 const SETTLED_MS = 30_000;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutTrackerContext {
   readonly clock: Clock;
-  /** Milliseconds without a word from store and decider after which the version gets nothing. */
+  /**
+   * Milliseconds without information from store or leader after which the version gets no requests.
+   */
   readonly staleMs: () => number;
 }
 
-/** How far an order is, as a decider tells it. */
+/** Phase of an order, as a leader announces it. */
 export interface PhaseUpdate {
   readonly service: string;
   readonly orderId: string;
   readonly phase: RolloutPhase;
-  /** Milliseconds since the order, as far as the teller knows. */
+  /** Milliseconds since the order, by the sender's information. */
   readonly ageMs: number;
   readonly plan?: RolloutPlan;
 }
@@ -36,7 +46,10 @@
 /** An order that has not ended. */
 export interface RunningRollout {
   readonly order: RolloutOrder;
-  /** Counts the orders that this node has learnt of: the same order made again has another. */
+  /**
+   * Number of the order, counted by this node as it learns of them; an identical order that is made
+   * again gets a new one.
+   */
   readonly generation: number;
   readonly phase: RolloutPhase;
   readonly phaseAgeMs: number;
@@ -45,54 +58,60 @@
 
 /** One per node. */
 export interface RolloutTracker {
-  /** True once the store has told which orders stand. */
+  /** True once the orders have been read from the store. */
   isSynced: boolean;
-  /** The store's word, newer than all before; false if it was known. */
+  /** Applies an order from the store, newer than all before; returns false if nothing changed. */
   applyOrder(order: RolloutOrder): boolean;
   /**
-   * The store's word after it came back from a copy, of an order that was known before: as {@link applyOrder}, but
-   * that the same order goes on, under whatever id, and what was known of its end holds.
+   * Applies an order from a restored store, as {@link applyOrder} does, except for an order with
+   * the same target and duration as the known one: that order continues even if its id differs, and
+   * an end that was already known stays in force.
    */
   applyRestoredOrder(order: RolloutOrder): boolean;
-  /** The order of a service stands no longer. */
+  /** Removes the order of a service. */
   remove(service: string): void;
-  /** A decider's word, this node's own included; true if it changed the phase. */
-  applyPhase(word: PhaseUpdate): boolean;
-  /** Another node knows that the order is so old. */
+  /**
+   * Applies a phase announced by a leader, this node included; returns true if the phase changed.
+   */
+  applyPhase(update: PhaseUpdate): boolean;
+  /** Records the age of an order by another node's information; the greatest age counts. */
   noteAge(service: string, orderId: string, ageMs: number): void;
-  /** What is known of the orders is all that the store holds now. */
+  /** Records that the orders tracked here are those that the store holds now. */
   markSynced(): void;
   running(service: string): RunningRollout | undefined;
-  /** How the order of a service has ended, by a status that the store held. */
+  /** State in which the order of a service ended, from its status in the store. */
   endStateOf(service: string): RolloutState | undefined;
   readonly runningServices: readonly string[];
   readonly services: readonly string[];
   view(service: string): RolloutView | undefined;
-  /** Versions whose orders were taken back before they ended: nothing is known in their favour. */
+  /**
+   * Versions whose orders were removed or replaced without being completed: no evidence shows that
+   * they are good.
+   */
   withdrawn(service: string): ReadonlySet<string>;
 }
 
-interface Known {
+interface TrackedOrder {
   order: RolloutOrder;
   readonly generation: number;
-  learntAt: number;
+  learnedAt: number;
   phase: RolloutPhase;
   phaseSince: number;
-  /** Of the phase; undefined while no decider has told one, or not lately. */
+  /** Plan of the phase; undefined while none has been announced recently. */
   plan: RolloutPlan | undefined;
-  toldAt: number;
+  announcedAt: number;
   endedAt: number | undefined;
 }
 
-const NOTHING: ReadonlySet<string> = new Set();
+const NO_VERSIONS: ReadonlySet<string> = new Set();
 
 export function createRolloutTracker({ clock, staleMs }: RolloutTrackerContext): RolloutTracker {
-  const orders = new Map<string, Known>();
+  const orders = new Map<string, TrackedOrder>();
   const withdrawn = new Map<string, Set<string>>();
-  let currentAt = clock.now();
+  let syncedAt = clock.now();
   let generation = 0;
 
-  const withdraw = (service: string, { order }: Known): void => {
+  const withdraw = (service: string, { order }: TrackedOrder): void => {
     if (order.state !== RolloutState.Completed) {
       const versions = withdrawn.get(service) ?? new Set<string>();
       withdrawn.set(service, versions.add(order.targetVersion));
@@ -111,59 +130,63 @@
     orders.set(order.service, {
       order,
       generation,
-      learntAt: now,
+      learnedAt: now,
       phase: RolloutPhase.Watch,
       phaseSince: now,
       plan: undefined,
-      toldAt: now,
+      announcedAt: now,
       endedAt: isEnded ? now : undefined,
     });
   };
 
-  /** A phase that is leased and not told again is over. */
-  const phaseOf = (known: Known): RolloutPhase => {
-    if (isLeased(known.phase) && clock.now() - known.toldAt > PHASE_LEASE_MS) {
-      known.phase = RolloutPhase.Watch;
-      known.phaseSince = clock.now();
-      known.plan = undefined;
+  /** The present phase; a leased phase that was not announced again in time becomes the watch. */
+  const phaseOf = (tracked: TrackedOrder): RolloutPhase => {
+    if (isLeased(tracked.phase) && clock.now() - tracked.announcedAt > PHASE_LEASE_MS) {
+      tracked.phase = RolloutPhase.Watch;
+      tracked.phaseSince = clock.now();
+      tracked.plan = undefined;
     }
-    return known.phase;
+    return tracked.phase;
   };
 
-  const planOf = (known: Known): RolloutPlan | undefined => {
-    if (clock.now() - known.toldAt > PLAN_LIFETIME_MS) {
-      known.plan = undefined;
+  const planOf = (tracked: TrackedOrder): RolloutPlan | undefined => {
+    if (clock.now() - tracked.announcedAt > PLAN_LIFETIME_MS) {
+      tracked.plan = undefined;
     }
-    return known.plan;
+    return tracked.plan;
   };
 
-  const runningOf = (service: string): Known | undefined => {
-    const known = orders.get(service);
-    return known && !hasEnded(known.order) && known.phase !== RolloutPhase.Done ? known : undefined;
+  const runningOf = (service: string): TrackedOrder | undefined => {
+    const tracked = orders.get(service);
+    return tracked && !hasEnded(tracked.order) && tracked.phase !== RolloutPhase.Done
+      ? tracked
+      : undefined;
   };
 
-  const noteState = (known: Known, order: RolloutOrder): void => {
-    known.order = order;
+  const applyState = (tracked: TrackedOrder, order: RolloutOrder): void => {
+    tracked.order = order;
     if (hasEnded(order)) {
-      // The store may tell it first. Owners that are to get nothing new until the end would refuse
-      // requests for up to a lease more: 0.6 s of them, where the version was rolled back.
-      known.phase = endPhaseOf(order);
-      known.endedAt = clock.now();
+      // The store may report the end before the leader does. Without this, owners that accept
+      // nothing new until the end would reject requests for up to one more lease: for 0.6 s when a
+      // version was rolled back.
+      tracked.phase = endPhaseOf(order);
+      tracked.endedAt = clock.now();
     }
   };
 
   const applyOrder = (order: RolloutOrder): boolean => {
-    const known = orders.get(order.service);
-    // A status ends once: one that hasn't ended is that of the same order, made again after another.
-    const isMadeAgain = known && hasEnded(known.order) && !hasEnded(order);
-    if (known?.order.id !== order.id || isMadeAgain) {
+    const tracked = orders.get(order.service);
+    // An order ends only once: one that was ended and has no final state now is the same order,
+    // made again after another.
+    const isMadeAgain = tracked && hasEnded(tracked.order) && !hasEnded(order);
+    if (tracked?.order.id !== order.id || isMadeAgain) {
       begin(order);
       return true;
     }
-    if (hasEnded(known.order) || known.order.state === order.state) {
+    if (hasEnded(tracked.order) || tracked.order.state === order.state) {
       return false;
     }
-    noteState(known, order);
+    applyState(tracked, order);
     return true;
   };
 
@@ -171,71 +194,71 @@
     isSynced: false,
     applyOrder,
     applyRestoredOrder: (order) => {
-      const known = orders.get(order.service);
-      if (!known || !isSameOrder(known.order, order)) {
+      const tracked = orders.get(order.service);
+      if (!tracked || !isSameOrder(tracked.order, order)) {
         return applyOrder(order);
       }
-      const isChanged = known.order.id !== order.id;
-      if (hasEnded(known.order)) {
-        known.order = { ...order, state: known.order.state };
+      const isChanged = tracked.order.id !== order.id;
+      if (hasEnded(tracked.order)) {
+        tracked.order = { ...order, state: tracked.order.state };
         return isChanged;
       }
-      const hasNewState = known.order.state !== order.state;
-      noteState(known, order);
+      const hasNewState = tracked.order.state !== order.state;
+      applyState(tracked, order);
       return isChanged || hasNewState;
     },
     endStateOf: (service) => {
-      const known = orders.get(service);
-      return known && hasEnded(known.order) ? known.order.state : undefined;
+      const tracked = orders.get(service);
+      return tracked && hasEnded(tracked.order) ? tracked.order.state : undefined;
     },
     remove: (service) => {
-      const known = orders.get(service);
+      const tracked = orders.get(service);
       orders.delete(service);
-      if (known) {
-        withdraw(service, known);
+      if (tracked) {
+        withdraw(service, tracked);
       }
     },
     applyPhase: ({ service, orderId, phase, ageMs, plan }) => {
-      const known = runningOf(service);
-      if (known?.order.id !== orderId) {
+      const tracked = runningOf(service);
+      if (tracked?.order.id !== orderId) {
         return false;
       }
       const now = clock.now();
-      known.learntAt = Math.min(known.learntAt, now - ageMs);
-      const before = phaseOf(known);
-      known.toldAt = now;
-      known.plan = plan;
-      // A version that is bad stays so.
+      tracked.learnedAt = Math.min(tracked.learnedAt, now - ageMs);
+      const before = phaseOf(tracked);
+      tracked.announcedAt = now;
+      tracked.plan = plan;
+      // A halted version stays halted.
       if (before === phase || before === RolloutPhase.Halt) {
         return false;
       }
-      known.phase = phase;
-      known.phaseSince = now;
-      known.endedAt = phase === RolloutPhase.Done ? now : undefined;
+      tracked.phase = phase;
+      tracked.phaseSince = now;
+      tracked.endedAt = phase === RolloutPhase.Done ? now : undefined;
       return true;
     },
     noteAge: (service, orderId, ageMs) => {
-      const known = runningOf(service);
-      if (known?.order.id === orderId) {
-        known.learntAt = Math.min(known.learntAt, clock.now() - ageMs);
+      const tracked = runningOf(service);
+      if (tracked?.order.id === orderId) {
+        tracked.learnedAt = Math.min(tracked.learnedAt, clock.now() - ageMs);
       }
     },
     markSynced: () => {
-      currentAt = clock.now();
+      syncedAt = clock.now();
     },
     running: (service) => {
-      const known = runningOf(service);
-      if (!known) {
+      const tracked = runningOf(service);
+      if (!tracked) {
         return undefined;
       }
-      const phase = phaseOf(known);
+      const phase = phaseOf(tracked);
       const now = clock.now();
       return {
-        order: known.order,
-        generation: known.generation,
+        order: tracked.order,
+        generation: tracked.generation,
         phase,
-        phaseAgeMs: now - known.phaseSince,
-        ageMs: now - known.learntAt,
+        phaseAgeMs: now - tracked.phaseSince,
+        ageMs: now - tracked.learnedAt,
       };
     },
     get runningServices() {
@@ -245,37 +268,39 @@
       return [...orders.keys()];
     },
     view: (service) => {
-      const known = orders.get(service);
-      if (!known) {
+      const tracked = orders.get(service);
+      if (!tracked) {
         return undefined;
       }
-      const { order, endedAt, toldAt } = known;
+      const { order, endedAt, announcedAt } = tracked;
       const now = clock.now();
       const isCompleted =
-        order.state === RolloutState.Completed || known.phase === RolloutPhase.Done;
+        order.state === RolloutState.Completed || tracked.phase === RolloutPhase.Done;
       if (isCompleted && now - (endedAt ?? now) > SETTLED_MS) {
         return undefined;
       }
-      const isStale = !hasEnded(order) && now - Math.max(currentAt, toldAt) > staleMs();
-      const phase = phaseOf(known);
-      const { generation, learntAt } = known;
-      return { order, generation, phase, ageMs: now - learntAt, plan: planOf(known), isStale };
+      const isStale = !hasEnded(order) && now - Math.max(syncedAt, announcedAt) > staleMs();
+      const phase = phaseOf(tracked);
+      const { generation, learnedAt } = tracked;
+      return { order, generation, phase, ageMs: now - learnedAt, plan: planOf(tracked), isStale };
     },
-    withdrawn: (service) => withdrawn.get(service) ?? NOTHING,
+    withdrawn: (service) => withdrawn.get(service) ?? NO_VERSIONS,
   };
 }
 
-/** True for orders that ask for the same: an operator who writes one again gets another id for it. */
+/**
+ * True for orders with the same content: an operator who writes one again gets another id for it.
+ */
 function isSameOrder(left: RolloutOrder, right: RolloutOrder): boolean {
   return left.targetVersion === right.targetVersion && left.durationMs === right.durationMs;
 }
 
-/** The phase that an ended order is in. */
+/** The phase of an ended order. */
 function endPhaseOf({ state }: RolloutOrder): RolloutPhase {
   return state === RolloutState.RolledBack ? RolloutPhase.Halt : RolloutPhase.Done;
 }
 
-/** True for an order whose status says how it ended. */
+/** True for an order whose status has a final state. */
 export function hasEnded({ state }: RolloutOrder): boolean {
   return state === RolloutState.Completed || state === RolloutState.RolledBack;
 }
--- a/src/rollout/versionRules.ts
+++ b/src/rollout/versionRules.ts
@@ -1,72 +1,78 @@
-/** Which versions of a service are held back at a node now, and why: by an order, or before one is known. */
+/**
+ * Decides which versions of a service a node limits at present: by the order for the service, or,
+ * before the node has one, by how new or how rare a version is.
+ */
 import type { Clock } from '../model/clock.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from './rolloutOrder.js';
 import type { RolloutPlan } from './rolloutPlan.js';
 
-/** What was read of a service's owners is read again after this time, in milliseconds. */
+/** Milliseconds after which the owners of a service are read again. */
 const SURVEY_LIFETIME_MS = 100;
 
-/** One owner as the shares see it. */
+/** An owner of the service and the version of its back end. */
 export interface VersionedOwner {
   readonly node: string;
-  /** Undefined while it has not been told. */
+  /** Undefined until the owner has announced it. */
   readonly version: string | undefined;
 }
 
-/** An order as far as this node knows how it goes. */
+/** This node's view of an order. */
 export interface RolloutView {
   readonly order: RolloutOrder;
-  /** Counts the orders that this node has learnt of: the same order made again has another. */
+  /**
+   * Number of the order, counted by this node as it learns of them; an identical order that is made
+   * again gets a new one.
+   */
   readonly generation: number;
   readonly phase: RolloutPhase;
-  /** Milliseconds since the order, as far as this node knows. */
+  /** Milliseconds since the order, by this node's information. */
   readonly ageMs: number;
-  /** The decider's; undefined while it has told none lately. */
+  /** The leader's plan; undefined while none has arrived recently. */
   readonly plan: RolloutPlan | undefined;
-  /** True while neither the store nor the decider has been heard of for too long. */
+  /** True while nothing has arrived from either the store or the leader for too long. */
   readonly isStale: boolean;
 }
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface VersionRulesContext {
   readonly clock: Clock;
-  /** Milliseconds within which every node knows of an order. */
+  /** Milliseconds within which an order reaches every node. */
   readonly applyMs: () => number;
   readonly owners: (service: string) => readonly VersionedOwner[];
-  /** The order of a service, if one stands. */
+  /** The view of a service's order; undefined if there is no order. */
   readonly view: (service: string) => RolloutView | undefined;
-  /** True once the orders have been read. */
+  /** True once the orders have been read from the store. */
   readonly isSynced: () => boolean;
-  /** Versions whose order was withdrawn before its end. */
+  /** Versions whose order was withdrawn before it ended. */
   readonly withdrawn: (service: string) => ReadonlySet<string>;
 }
 
-/** The rule that holds for a service now. */
+/** The rule in force for a service at present. */
 export interface VersionRule {
-  /** Another one begins another account of what was sent. */
+  /** When it changes, the counts of requests sent to the version start from zero. */
   readonly key: string;
   readonly phase: RolloutPhase;
-  /** The decider's; undefined without an order, and while it has told none lately. */
+  /** The leader's plan; undefined without an order, or while none has arrived recently. */
   readonly plan?: RolloutPlan | undefined;
-  /** Nodes whose back ends the rule is about; an unknown version may be the one that is held back. */
+  /** Nodes whose back ends the rule limits; a back end of unknown version may be one of them. */
   readonly limited: ReadonlySet<string>;
-  /** Owners of the service besides; one in neither set has come since and may have any version. */
+  /** All other owners of the service. An owner in neither set is newer and may have any version. */
   readonly others: ReadonlySet<string>;
 }
 
 export interface VersionRules {
-  /** Undefined while all versions may serve alike. */
+  /** Undefined while no version is limited. */
   ruleFor(service: string): VersionRule | undefined;
 }
 
-type VersionCheck = (version: string | undefined) => boolean;
+type VersionPredicate = (version: string | undefined) => boolean;
 
-/** A rule by versions. */
+/** A rule by version, before it is applied to the owners. */
 interface Rule {
   readonly key: string;
   readonly phase: RolloutPhase;
   readonly plan?: RolloutPlan | undefined;
-  readonly isLimited: VersionCheck;
+  readonly isLimited: VersionPredicate;
 }
 
 /** The owners of a service by version. */
@@ -79,23 +85,23 @@
 export function createVersionRules(context: VersionRulesContext): VersionRules {
   const { clock, applyMs, owners, view, isSynced, withdrawn } = context;
   const surveys = new Map<string, Survey>();
-  /** When each version of a service was first seen. */
+  /** By service and version, the time at which the version was first seen. */
   const firstSeen = new Map<string, Map<string, number>>();
 
   const surveyOf = (service: string): Survey => {
     const now = clock.now();
-    const known = surveys.get(service);
-    if (known && now - known.at < SURVEY_LIFETIME_MS) {
-      return known;
+    const cached = surveys.get(service);
+    if (cached && now - cached.at < SURVEY_LIFETIME_MS) {
+      return cached;
     }
     const versionOf = new Map(owners(service).map(({ node, version }) => [node, version]));
     const survey = { at: now, versionOf, versions: new Set(versionOf.values()) };
     surveys.set(service, survey);
-    noteVersions(service, survey.versions, now);
+    recordVersions(service, survey.versions, now);
     return survey;
   };
 
-  const noteVersions = (service: string, versions: Survey['versions'], now: number): void => {
+  const recordVersions = (service: string, versions: Survey['versions'], now: number): void => {
     const seen = firstSeen.get(service) ?? new Map<string, number>();
     firstSeen.set(service, seen);
     for (const version of seen.keys()) {
@@ -110,8 +116,11 @@
     }
   };
 
-  /** A version that nobody ordered: an order for it may be on its way. */
-  const appearing = (service: string, { versions }: Survey): Rule | undefined => {
+  /**
+   * Limits versions that appeared recently without an order: an order for them may not have reached
+   * this node yet.
+   */
+  const newVersionsRule = (service: string, { versions }: Survey): Rule | undefined => {
     const seen = [...(firstSeen.get(service) ?? [])];
     if (versions.size < 2 || seen.length < 2) {
       return undefined;
@@ -128,16 +137,19 @@
         };
   };
 
-  /** While the orders are not known, the version with the fewest owners may be a bad one. */
-  const unlisted = ({ versionOf, versions }: Survey): Rule | undefined => {
-    const counted = [...versions]
+  /**
+   * Limits all but the version with the most owners. Applies until the orders have been read: any
+   * version with fewer owners may be a bad one.
+   */
+  const minorityRule = ({ versionOf, versions }: Survey): Rule | undefined => {
+    const byOwners = [...versions]
       .filter((version) => version !== undefined)
       .map((version) => ({
         version,
         count: [...versionOf.values()].filter((each) => each === version).length,
       }))
       .sort((left, right) => right.count - left.count);
-    const [most, ...fewer] = counted;
+    const [most, ...fewer] = byOwners;
     return most && fewer.length > 0
       ? {
           key: 'unlisted',
@@ -149,12 +161,12 @@
 
   const ruleOf = (service: string, survey: Survey): Rule | undefined => {
     const { order, generation, phase, plan, isStale } = view(service) ?? {};
-    const banned = withdrawn(service);
+    const withdrawnVersions = withdrawn(service);
     if (order) {
       const key = `order ${generation}`;
       const { targetVersion, state } = order;
       const isTarget = (version: string | undefined) =>
-        version === targetVersion || (version !== undefined && banned.has(version));
+        version === targetVersion || (version !== undefined && withdrawnVersions.has(version));
       if (state === RolloutState.Completed || phase === RolloutPhase.Done) {
         const isNew = (version: string | undefined) => version === undefined || isTarget(version);
         return { key, isLimited: isNew, phase: RolloutPhase.Done };
@@ -162,7 +174,7 @@
       if (state === RolloutState.RolledBack || phase === RolloutPhase.Halt || isStale) {
         return { key, isLimited: isTarget, phase: RolloutPhase.Halt };
       }
-      const mayBeTarget = knowsMost(survey);
+      const mayBeTarget = areMostVersionsKnown(survey);
       return {
         key,
         isLimited: (version) => (version === undefined ? mayBeTarget : isTarget(version)),
@@ -170,13 +182,13 @@
         plan,
       };
     }
-    if (banned.size > 0) {
-      const mayBeBanned = knowsMost(survey);
+    if (withdrawnVersions.size > 0) {
+      const mayBeWithdrawn = areMostVersionsKnown(survey);
       const isLimited = (version: string | undefined) =>
-        version === undefined ? mayBeBanned : banned.has(version);
+        version === undefined ? mayBeWithdrawn : withdrawnVersions.has(version);
       return { key: 'withdrawn', isLimited, phase: RolloutPhase.Halt };
     }
-    return isSynced() ? appearing(service, survey) : unlisted(survey);
+    return isSynced() ? newVersionsRule(service, survey) : minorityRule(survey);
   };
 
   return {
@@ -198,10 +210,11 @@
 }
 
 /**
- * A node that has just started hears the versions within moments. Were the few owners that it knows
- * first taken for all that may serve, they would get everything.
+ * True if the versions of most owners are known. Until then owners of unknown version are not
+ * limited: a node that has just started receives the versions within moments, and if only the few
+ * owners known by then could serve, they would get every request.
  */
-function knowsMost({ versionOf }: Survey): boolean {
+function areMostVersionsKnown({ versionOf }: Survey): boolean {
   const unknown = [...versionOf.values()].filter((version) => version === undefined).length;
   return unknown * 2 < versionOf.size;
 }
--- a/src/rollout/versionSelector.ts
+++ b/src/rollout/versionSelector.ts
@@ -1,7 +1,8 @@
 /**
- * Which of a service's versions one node's requests may be offered to. Every node keeps to the bound by
- * itself, from the requests that it has seen and its part of the slack, so that the sum over all nodes
- * stays inside it however many they are and whoever is cut off.
+ * Selects the versions of a service that a node's requests may be offered to. Every node keeps
+ * within the bound on its own, by the requests that it has received and its part of the slack. The
+ * sum over all nodes therefore stays within the bound however many nodes there are and whichever of
+ * them are cut off.
  */
 import { rankNames } from '../model/rendezvous.js';
 import type { ExposureBounds } from './exposure.js';
@@ -9,71 +10,80 @@
 import { shareOf as plannedShareOf } from './rolloutPlan.js';
 import { createVersionRules, type VersionRule, type VersionRulesContext } from './versionRules.js';
 
-/** Part of the bound that is used: it leaves room for the last step, in which the version gets all. */
+/**
+ * Part of the bound that the nodes use; the rest is kept for the shift, when the version gets
+ * everything.
+ */
 const USED_SHARE = 0.5;
 
 /**
- * Requests that look for a back end of the version first, as a multiple of the share that it may get:
- * where some find it full, others use its share up; and it gets no burst when it appears.
+ * Requests that are offered to the version first, as a multiple of the share that it may get. If
+ * some of them find its back ends full, the others use up its share; the limit also prevents a
+ * burst when the version appears.
  */
-const LOOKING_FACTOR = 2;
+const PREFERRED_FACTOR = 2;
 
-/** Bad answers of the version at this node alone after which it sends nothing more there. */
+/** Bad answers of the version at this node after which the node sends it no more requests. */
 const OWN_BAD_LIMIT = 50;
 
-/** Part of the requests to the version that go to any of its back ends, not only to the loaded ones. */
+/**
+ * Part of the requests to the version that go to any of its back ends, not only to those that are
+ * loaded as the others are.
+ */
 const SPREAD_SHARE = 0.25;
 
-/** Fewer loaded back ends could not tell a bad version from a machine in trouble. */
+/**
+ * Smallest number of loaded back ends; with fewer a faulty machine would look like a bad version.
+ */
 const MIN_LOADED = 2;
 
-/** The bounds of the deployment. */
+/** The deployment's bounds on roll-outs. */
 export interface RolloutBounds extends ExposureBounds {
   readonly rollbackMs: number;
 }
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface VersionSelectorContext extends VersionRulesContext {
   readonly bounds: () => RolloutBounds | undefined;
-  /** Nodes that share the slack; infinite while they are not known. */
+  /** Number of nodes that share the slack; infinite while it is unknown. */
   readonly nodes: () => number;
   readonly random?: () => number;
 }
 
-/** Says of a node whether a request may be offered to its back end. */
+/** True if a request may be offered to the node's back end. */
 export type NodePredicate = (node: string) => boolean;
 
-/** One request's part. */
+/** The owners that one request may be offered to. */
 export interface VersionSelection {
-  /** Owners that are asked first; undefined if none come before the usual ones. */
+  /** Owners that get offers first; undefined if none are preferred. */
   readonly preferred: NodePredicate | undefined;
-  /** Undefined when all owners of the service may be asked. */
+  /** Owners that may get offers after the preferred ones; undefined if all owners may. */
   readonly fallback: NodePredicate | undefined;
-  /** The request is offered to an owner. */
+  /** Counts an offer of the request to an owner. */
   noteOffer(node: string): void;
-  /** An offer has certainly not reached a back end. */
+  /** Takes back the count of an offer that certainly did not reach a back end. */
   noteUndelivered(node: string): void;
-  /** A back end has failed the request. */
+  /** Counts a failure of the request by a back end. */
   noteFailure(node: string): void;
 }
 
-/** What a node has seen and sent under the present orders. */
+/** Totals of a node under the present orders. */
 export interface SelectionTotals {
   readonly requests: number;
-  /** To the versions that are being rolled out. */
+  /** Offers to the versions that are being rolled out. */
   readonly offers: number;
-  /** Of these versions. */
+  /** Bad answers of these versions. */
   readonly bad: number;
 }
 
-/** One per node. */
+/** The selector of a node. */
 export interface VersionSelector {
-  /** A request for a service has come, on a route. */
+  /** Counts a request for a service and returns the owners that it may be offered to. */
   select(service: string, route: string): VersionSelection;
   readonly totals: SelectionTotals;
 }
 
-/** Every owner of the service may be asked. */
+/** Selection without a rule: the request may be offered to every owner of the service. */
 export const UNRESTRICTED_SELECTION: VersionSelection = {
   preferred: undefined,
   fallback: undefined,
@@ -82,7 +92,7 @@
   noteFailure: () => {},
 };
 
-/** What this node has sent under one order, or to one version that nobody ordered. */
+/** Counts of this node under one rule: an order, or a version that appeared without an order. */
 interface Account {
   readonly service: string;
   readonly key: string;
@@ -96,70 +106,83 @@
   const random = context.random ?? Math.random;
   const rules = createVersionRules(context);
   const accounts = new Map<string, Account>();
-  let mostNodes = 1;
+  let highestNodeCount = 1;
 
   const accountOf = (service: string, key: string): Account => {
-    const known = accounts.get(service);
-    if (known?.key === key) {
-      return known;
+    const current = accounts.get(service);
+    if (current?.key === key) {
+      return current;
     }
     const created = { service, key, requests: 0, offers: 0, bad: 0 };
     accounts.set(service, created);
     return created;
   };
 
-  /** A node may start or be away: its part does not grow when others are away. */
-  const slackHere = (slack: number): number => {
-    const known = nodes();
-    if (!Number.isFinite(known)) {
+  /**
+   * This node's part of the slack. It does not grow while other nodes are away: they may come back.
+   */
+  const ownSlack = (slack: number): number => {
+    const nodeCount = nodes();
+    if (!Number.isFinite(nodeCount)) {
       return 0;
     }
-    mostNodes = Math.max(mostNodes, known);
-    return (slack * USED_SHARE) / mostNodes;
+    highestNodeCount = Math.max(highestNodeCount, nodeCount);
+    return (slack * USED_SHARE) / highestNodeCount;
   };
 
   const allows = ({ requests, offers }: Account): boolean => {
     const { exposureShare = 0, exposureSlack = 0 } = bounds() ?? {};
-    return offers + 1 <= requests * exposureShare * USED_SHARE + slackHere(exposureSlack);
+    return offers + 1 <= requests * exposureShare * USED_SHARE + ownSlack(exposureSlack);
   };
 
-  /** The back ends of the version that are loaded as those of the others are. */
+  /**
+   * Back ends of the version that get the version's requests, as few as are needed for each to be
+   * loaded as those of the others are.
+   */
   const loadedOf = (service: string, limited: readonly string[], others: number): Set<string> => {
     const { exposureShare = 0 } = bounds() ?? {};
     const wanted = Math.ceil(exposureShare * USED_SHARE * others);
     return new Set(rankNames(`loaded/${service}`, limited).slice(0, Math.max(MIN_LOADED, wanted)));
   };
 
-  const isTaken = (account: Account, rule: VersionRule, mayBeAny: boolean): NodePredicate => {
+  const preferredOwners = (
+    account: Account,
+    rule: VersionRule,
+    isSpread: boolean,
+  ): NodePredicate => {
     const { limited, others, phase, plan } = rule;
-    const served = plan ? [...limited].filter((node) => plan.owners.has(node)) : [...limited];
+    const eligible = plan ? [...limited].filter((node) => plan.owners.has(node)) : [...limited];
     if (phase === RolloutPhase.Ramp || phase === RolloutPhase.Shift) {
-      return (node) => served.includes(node);
+      return (node) => eligible.includes(node);
     }
-    const offered = mayBeAny ? new Set(served) : loadedOf(account.service, served, others.size);
-    // The owners of a plan keep to the bound themselves.
+    const candidates = isSpread
+      ? new Set(eligible)
+      : loadedOf(account.service, eligible, others.size);
+    // The owners in a plan enforce their limits themselves.
     const isAllowed = () => plan !== undefined || allows(account);
-    return (node) => offered.has(node) && account.bad < OWN_BAD_LIMIT && isAllowed();
+    return (node) => candidates.has(node) && account.bad < OWN_BAD_LIMIT && isAllowed();
   };
 
-  /** The rule may change while a request is tried: it is asked for at each offer. */
-  const shareOf = (service: string, route: string): VersionSelection => {
-    const counted = new Map<string, Account>();
+  /** Reads the rule at each use, as it may change between the attempts of a request. */
+  const selectionOf = (service: string, route: string): VersionSelection => {
+    const countedOffers = new Map<string, Account>();
     const draw = random();
-    const mayBeAny = random() < SPREAD_SHARE;
-    const ruleNow = (): VersionRule | undefined => {
+    const isSpread = random() < SPREAD_SHARE;
+    const currentRule = (): VersionRule | undefined => {
       const rule = rules.ruleFor(service);
       return rule && rule.limited.size > 0 && rule.others.size > 0 ? rule : undefined;
     };
     return {
       get preferred() {
-        const rule = ruleNow();
+        const rule = currentRule();
         const { exposureShare = 0 } = bounds() ?? {};
-        const looksFirst = rule && draw < lookingShareOf(rule, route, exposureShare);
-        return looksFirst ? isTaken(accountOf(service, rule.key), rule, mayBeAny) : undefined;
+        const isPreferred = rule && draw < preferredShareOf(rule, route, exposureShare);
+        return isPreferred
+          ? preferredOwners(accountOf(service, rule.key), rule, isSpread)
+          : undefined;
       },
       get fallback() {
-        const rule = ruleNow();
+        const rule = currentRule();
         if (!rule) {
           return undefined;
         }
@@ -176,22 +199,22 @@
         }
       },
       noteOffer: (node) => {
-        const rule = ruleNow();
+        const rule = currentRule();
         if (rule?.limited.has(node)) {
           const account = accountOf(service, rule.key);
           account.offers += 1;
-          counted.set(node, account);
+          countedOffers.set(node, account);
         }
       },
       noteUndelivered: (node) => {
-        const account = counted.get(node);
+        const account = countedOffers.get(node);
         if (account) {
           account.offers -= 1;
-          counted.delete(node);
+          countedOffers.delete(node);
         }
       },
       noteFailure: (node) => {
-        const account = counted.get(node);
+        const account = countedOffers.get(node);
         if (account) {
           account.bad += 1;
         }
@@ -206,7 +229,7 @@
         return UNRESTRICTED_SELECTION;
       }
       accountOf(service, rule.key).requests += 1;
-      return shareOf(service, route);
+      return selectionOf(service, route);
     },
     get totals() {
       const all = [...accounts.values()];
@@ -221,13 +244,16 @@
   };
 }
 
-/** In the last step: they take what the version's owners turn away. */
+/**
+ * True in the shift until the others are fenced: they get the requests that the version's owners
+ * reject.
+ */
 function areOthersOpen({ phase, plan }: Pick<VersionRule, 'phase' | 'plan'>): boolean {
   return phase === RolloutPhase.Shift && plan !== undefined && !plan.isFenced;
 }
 
-/** Share of a route's requests that ask the owners of the version first. */
-function lookingShareOf(
+/** Share of a route's requests that are offered to the owners of the version first. */
+function preferredShareOf(
   { phase, plan }: VersionRule,
   route: string,
   exposureShare: number,
@@ -241,5 +267,5 @@
   if (plan) {
     return plannedShareOf(plan, route);
   }
-  return phase === RolloutPhase.Watch ? exposureShare * USED_SHARE * LOOKING_FACTOR : 0;
+  return phase === RolloutPhase.Watch ? exposureShare * USED_SHARE * PREFERRED_FACTOR : 0;
 }
