--- a/src/rollout/exposureLimits.test.ts
+++ b/src/rollout/exposureLimits.test.ts
@@ -1,4 +1,7 @@
-/** The limits of a version's owners: what they sum up to, whoever counts anew or gives them. */
+/**
+ * Guards against limits of a version's owners whose sum exceeds the bound, which could come about
+ * when an owner starts a new count or another leader has granted limits.
+ */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { createExposureLimits, type ExposureLimits } from './exposureLimits.js';
@@ -7,7 +10,7 @@
 
 const NODES = ['a', 'b', 'c'];
 
-function tell(limits: ExposureLimits, node: string, more: Partial<EvidenceReport> = {}): void {
+function report(limits: ExposureLimits, node: string, more: Partial<EvidenceReport> = {}): void {
   limits.addReport({
     kind: RolloutMessageKind.Evidence,
     service: 'desk',
@@ -29,7 +32,7 @@
   });
 }
 
-/** So many requests more, for any owner, within a bound. */
+/** Allowance for `additional` requests, by default without a limit per owner. */
 const allowance = (
   additional: number,
   budget: number,
@@ -44,34 +47,35 @@
   limits.limitsOf(new Set(nodes)).map(({ limit }) => limit);
 
 describe('ExposureLimits', () => {
-  it('are as large for one owner as for the next', () => {
+  it('distributes the allowance evenly over the owners', () => {
     const limits = createExposureLimits();
     for (const node of NODES) {
-      tell(limits, node);
+      report(limits, node);
     }
     limits.raiseLimits(new Set(NODES), allowance(9, 50));
     expect(limitsOf(limits)).toEqual([3, 3, 3]);
-    tell(limits, 'a', { taken: 3, limit: 3 });
+    report(limits, 'a', { taken: 3, limit: 3 });
     limits.raiseLimits(new Set(NODES), allowance(9, 50));
     expect(limitsOf(limits)).toEqual([6, 3, 3]);
   });
 
-  // One owner that reported first once got all, and the others nothing for most of the watch.
-  it('leave something to owners that report later', () => {
+  // The owner that reported first was granted everything, and the others nothing for most of the
+  // watch.
+  it('leaves requests for owners that report later, with a limit per owner', () => {
     const limits = createExposureLimits();
-    tell(limits, 'a');
+    report(limits, 'a');
     limits.raiseLimits(new Set(NODES), allowance(20, 50, 4));
     expect(limitsOf(limits)).toEqual([4]);
-    tell(limits, 'b');
-    tell(limits, 'c');
+    report(limits, 'b');
+    report(limits, 'c');
     limits.raiseLimits(new Set(NODES), allowance(20, 50, 4));
     expect(limitsOf(limits)).toEqual([4, 4, 4]);
   });
 
-  it('never sum up to more than the bound', () => {
+  it('never grants limits whose sum exceeds the budget', () => {
     const limits = createExposureLimits();
     for (const node of NODES) {
-      tell(limits, node);
+      report(limits, node);
     }
     limits.raiseLimits(new Set(NODES), allowance(Number.POSITIVE_INFINITY, 20));
     expect(limitsOf(limits).reduce((sum, limit) => sum + limit, 0)).toBe(20);
@@ -79,19 +83,19 @@
     expect(limitsOf(limits).reduce((sum, limit) => sum + limit, 0)).toBe(20);
   });
 
-  it('count what was given to an owner that has counted anew since, and by another decider', () => {
+  it('includes limits of an earlier count of an owner, and those of another leader', () => {
     const limits = createExposureLimits();
-    tell(limits, 'a', { taken: 4, limit: 10 });
-    tell(limits, 'a', { countId: 'a-2' });
+    report(limits, 'a', { taken: 4, limit: 10 });
+    report(limits, 'a', { countId: 'a-2' });
     expect(limits.taken).toBe(4);
     limits.raiseLimits(new Set(['a']), allowance(Number.POSITIVE_INFINITY, 25));
     expect(limits.limitsOf(new Set(['a']))).toEqual([{ node: 'a', countId: 'a-2', limit: 15 }]);
   });
 
-  it('hold the bound in any order of reports, raises and restarts', () => {
+  it('keeps the sum of limits within the budget in any order of events', () => {
     const event = fc.record({
       node: fc.constantFrom(...NODES),
-      life: fc.nat(2),
+      restarts: fc.nat(2),
       used: fc.double({ min: 0, max: 1, noNaN: true }),
       more: fc.nat(40),
       bound: fc.nat(60),
@@ -99,19 +103,22 @@
     fc.assert(
       fc.property(fc.array(event, { maxLength: 40 }), (events) => {
         const limits = createExposureLimits();
-        /** What each owner's count may take, as it knows itself. */
-        const known = new Map<string, number>();
+        /** The highest limit that each count has received. */
+        const received = new Map<string, number>();
         let highest = 0;
-        for (const { node, life, used, more, bound } of events) {
-          const countId = `${node}-${life}`;
-          const limit = known.get(countId) ?? 0;
-          tell(limits, node, { countId, limit, taken: Math.floor(limit * used) });
+        for (const { node, restarts, used, more, bound } of events) {
+          const countId = `${node}-${restarts}`;
+          const limit = received.get(countId) ?? 0;
+          report(limits, node, { countId, limit, taken: Math.floor(limit * used) });
           highest = Math.max(highest, bound);
           limits.raiseLimits(new Set(NODES), allowance(more, bound));
-          for (const told of limits.limitsOf(new Set(NODES))) {
-            known.set(told.countId, Math.max(known.get(told.countId) ?? 0, told.limit));
+          for (const granted of limits.limitsOf(new Set(NODES))) {
+            received.set(
+              granted.countId,
+              Math.max(received.get(granted.countId) ?? 0, granted.limit),
+            );
           }
-          const sum = [...known.values()].reduce((total, each) => total + each, 0);
+          const sum = [...received.values()].reduce((total, each) => total + each, 0);
           expect(sum).toBeLessThanOrEqual(highest);
         }
       }),
--- a/src/rollout/rolloutDecider.test.ts
+++ b/src/rollout/rolloutDecider.test.ts
@@ -1,4 +1,7 @@
-/** One decider's view of its order, from the owners' reports, without a network. */
+/**
+ * Runs a decider on simulated owners' reports without a network. Guards against bad versions that
+ * complete and good ones that miss their deadline.
+ */
 import { describe, expect, it } from 'vitest';
 import { createRolloutDecider } from './rolloutDecider.js';
 import { type EvidenceReport, RolloutMessageKind } from './rolloutMessages.js';
@@ -13,15 +16,17 @@
 const DURATION_MS = 12_000;
 const STEP_MS = 125;
 
-/** From one report of an owner to the next, in milliseconds, and the same in the last steps. */
+/** Milliseconds between two reports of an owner in the watch. */
 const REPORT_MS = 500;
-const LAST_REPORT_MS = 125;
 
-/** Class of the durations of a usual answer, and what more a slow one has. */
+/** Milliseconds between two reports of an owner in the ramp and the shift. */
+const FAST_REPORT_MS = 125;
+
+/** Duration class of a usual answer, and the number of classes by which a slow one is higher. */
 const USUAL_CLASS = 6;
 const SLOW_CLASSES = 5;
 
-/** Whole counts of one route: so many answered and failed, and so many of the answers slow. */
+/** Total counts of one route; `slow` of the answered requests are slow. */
 function countsOf(answered: number, failed: number, slow = 0): RouteCounts {
   const durations = Array.from({ length: USUAL_CLASS + 8 }, () => 0);
   durations[USUAL_CLASS] = answered - slow;
@@ -48,7 +53,7 @@
     ageMs: now,
   });
   let reports = 0;
-  const tell = (node: string, counts: CountsByRoute, more: Partial<EvidenceReport> = {}) => {
+  const addReport = (node: string, counts: CountsByRoute, more: Partial<EvidenceReport> = {}) => {
     const version = TARGETS.includes(node) ? 'v2' : 'v1';
     const runs = [...counts.values()].reduce((sum, each) => sum + each.answered + each.failed, 0);
     reports += 1;
@@ -84,7 +89,7 @@
   };
   return {
     decider,
-    tell,
+    addReport,
     step,
     pass: (ms: number) => {
       now += ms;
@@ -100,16 +105,20 @@
 
 type Setup = ReturnType<typeof setUp>;
 
-/** What a version makes of its requests on one route in the phase at hand, of a hundred. */
-type Kind = (setup: Setup, route: string) => { readonly failed: number; readonly slow: number };
+/** Percentages of a version's requests on a route that fail or are slow in the present phase. */
+type Behaviour = (
+  setup: Setup,
+  route: string,
+) => { readonly failed: number; readonly slow: number };
 
-const GOOD: Kind = () => ({ failed: 0, slow: 0 });
+const GOOD: Behaviour = () => ({ failed: 0, slow: 0 });
 
 /**
- * Plays an order: two routes, each owner of the others answers twenty requests of each a second, each with the
- * version two in the watch, eight in the ramp, 28 in the last step. Time in milliseconds of the end.
+ * Simulates an order on two routes. On each route an owner of another version answers 20 requests a
+ * second, and none in the shift; an owner of the version gets 2 in the watch, 8 in the ramp and 28
+ * in the shift. Returns the last phase and its time in milliseconds.
  */
-function play(kind: Kind): { readonly phase: RolloutPhase; readonly atMs: number } {
+function simulate(behaviour: Behaviour): { readonly phase: RolloutPhase; readonly atMs: number } {
   const setup = setUp();
   const whole = new Map<string, { answered: number; failed: number; slow: number }>();
   const wholeOf = (key: string) => {
@@ -124,13 +133,13 @@
     const more = setup.phase === RolloutPhase.Ramp ? 8 : 28;
     return setup.phase === RolloutPhase.Watch ? 2 : more;
   };
-  /** Requests that are due by now, by route and node, in parts as well. */
+  /** Fractions of requests due but not yet counted, by node and route. */
   const due = new Map<string, number>();
   const report = (node: string, passedMs: number): void => {
     const isTarget = TARGETS.includes(node);
     const counts = ['read', 'grant'].map((route) => {
       const sum = wholeOf(`${node} ${route}`);
-      const { failed, slow } = isTarget ? kind(setup, route) : { failed: 0, slow: 0 };
+      const { failed, slow } = isTarget ? behaviour(setup, route) : { failed: 0, slow: 0 };
       const key = `${node} ${route}`;
       const owed = (due.get(key) ?? 0) + (perSecond(isTarget) * passedMs) / 1_000;
       const runs = Math.floor(owed);
@@ -145,13 +154,13 @@
       sum.answered += runs - failing;
       return [route, countsOf(sum.answered, sum.failed, sum.slow)] as const;
     });
-    setup.tell(node, new Map(counts));
+    setup.addReport(node, new Map(counts));
   };
   let reportedAt = 0;
   while (setup.now < DURATION_MS) {
     setup.pass(STEP_MS);
     const isWatched = setup.phase === RolloutPhase.Watch;
-    if (setup.now - reportedAt >= (isWatched ? REPORT_MS : LAST_REPORT_MS)) {
+    if (setup.now - reportedAt >= (isWatched ? REPORT_MS : FAST_REPORT_MS)) {
       for (const node of OWNERS.up) {
         report(node, setup.now - reportedAt);
       }
@@ -167,13 +176,13 @@
 
 describe('RolloutDecider', () => {
   it('completes a good version before its deadline', () => {
-    const { phase, atMs } = play(GOOD);
+    const { phase, atMs } = simulate(GOOD);
     expect(phase).toBe(RolloutPhase.Done);
     expect(atMs).toBeLessThan(DURATION_MS);
   });
 
-  it('completes a good version that is slow for a moment while it alone serves', () => {
-    const { phase, atMs } = play((setup) => ({
+  it('completes a good version that is slow only while it alone serves', () => {
+    const { phase, atMs } = simulate((setup) => ({
       failed: 0,
       slow: setup.phase === RolloutPhase.Shift ? 50 : 0,
     }));
@@ -181,15 +190,15 @@
     expect(atMs).toBeLessThan(DURATION_MS);
   });
 
-  it('halts a version of which half of the answers fail as soon as it alone serves', () => {
-    const { phase } = play((setup) => ({
+  it('halts a version of which half of the answers fail once it alone serves', () => {
+    const { phase } = simulate((setup) => ({
       failed: setup.phase === RolloutPhase.Shift ? 50 : 0,
       slow: 0,
     }));
     expect(phase).toBe(RolloutPhase.Halt);
   });
 
-  const bad: [string, Kind][] = [
+  const bad: [string, Behaviour][] = [
     [
       'half of its answers fail on one route only',
       (_, route) => ({ failed: route === 'grant' ? 50 : 0, slow: 0 }),
@@ -208,37 +217,37 @@
     ],
   ];
 
-  it.each(bad)('halts a version before its deadline when %s', (_name, kind) => {
-    const { phase, atMs } = play(kind);
+  it.each(bad)('halts a version before its deadline when %s', (_name, behaviour) => {
+    const { phase, atMs } = simulate(behaviour);
     expect(phase).toBe(RolloutPhase.Halt);
     expect(atMs).toBeLessThan(DURATION_MS);
   });
 
-  it('tells how old the evidence of a decision is, and forgets reports that are too old', () => {
+  it('returns the age of the evidence for a decision, and ignores reports that are too old', () => {
     const setup = setUp();
     expect(setup.step().newestEvidenceMs).toBeUndefined();
-    setup.tell('old-1', new Map());
+    setup.addReport('old-1', new Map());
     setup.pass(2_000);
-    setup.tell('new-1', new Map());
+    setup.addReport('new-1', new Map());
     setup.pass(300);
     expect(setup.step()).toMatchObject({ newestEvidenceMs: 300, oldestEvidenceMs: 2_300 });
     setup.pass(300);
     expect(setup.step()).toMatchObject({ newestEvidenceMs: 600, oldestEvidenceMs: 600 });
   });
 
-  it('is told by nobody where no owner of the service is up', () => {
-    const { decider, tell } = setUp();
+  it('has no quorum of reports when no owner of the service is up', () => {
+    const { decider, addReport } = setUp();
     expect(decider.hasReportQuorum({ up: [], contactMs: 3_000 })).toBe(false);
-    tell('old-1', new Map());
+    addReport('old-1', new Map());
     expect(decider.hasReportQuorum({ up: ['old-1'], contactMs: 3_000 })).toBe(true);
   });
 
-  it('keeps two orders apart', () => {
+  it('decides on each order by its own reports only', () => {
     const [first, second] = [setUp(), setUp()];
-    first.tell('new-1', new Map([['read', countsOf(10, 90)]]));
-    first.tell('new-2', new Map([['read', countsOf(10, 90)]]));
-    first.tell('old-1', new Map([['read', countsOf(100, 0)]]));
-    // What the others have seen meanwhile comes with the next step.
+    first.addReport('new-1', new Map([['read', countsOf(10, 90)]]));
+    first.addReport('new-2', new Map([['read', countsOf(10, 90)]]));
+    first.addReport('old-1', new Map([['read', countsOf(100, 0)]]));
+    // Outcomes of the target are delayed until the others' reports of the same time have arrived.
     first.step();
     second.step();
     first.pass(STEP_MS * 2);
@@ -248,11 +257,11 @@
   });
 });
 
-it('counts each request once, though a report overtakes an earlier one', () => {
-  const { decider, tell, step } = setUp();
-  const early = tell('new-1', new Map([['read', countsOf(4, 0)]]));
-  tell('new-1', new Map([['read', countsOf(9, 0)]]));
+it('counts each request once when a report overtakes an earlier one', () => {
+  const { decider, addReport, step } = setUp();
+  const early = addReport('new-1', new Map([['read', countsOf(4, 0)]]));
+  addReport('new-1', new Map([['read', countsOf(9, 0)]]));
   decider.addReport(early, 0);
-  tell('new-1', new Map([['read', countsOf(10, 0)]]));
+  addReport('new-1', new Map([['read', countsOf(10, 0)]]));
   expect(step().facts.comparison.finished).toBe(10);
 });
--- a/src/rollout/rolloutDecision.test.ts
+++ b/src/rollout/rolloutDecision.test.ts
@@ -5,7 +5,7 @@
 import { RolloutPhase } from './rolloutOrder.js';
 import type { RouteTraffic } from './serviceTraffic.js';
 
-/** One of its requests has failed, as do some of the others': nothing but the bound lets it get more. */
+/** One request of the version failed, and some of the others': only the budget limits it. */
 const USUAL = {
   finished: 200,
   failed: 1,
@@ -20,7 +20,7 @@
   chanceIfBad: 1,
 };
 
-/** How often a version that fails one in ten passes so many requests. */
+/** Probability that a version which fails one request in ten passes `runs` requests. */
 const chanceAfter = (runs: number) => 0.9 ** runs;
 
 const READ: RouteTraffic = {
@@ -41,7 +41,7 @@
   perSecond: 80,
 };
 
-/** An order of twelve seconds of which 130 requests may go to the version by now. */
+/** An order of twelve seconds; the budget is 130 requests by now. */
 const FACTS: RolloutFacts = {
   phase: RolloutPhase.Watch,
   phaseAgeMs: 9_000,
@@ -71,28 +71,28 @@
 const onRoutes = (route: Partial<RouteTraffic>) => [READ, { ...LIST, ...route }];
 
 describe('decideRollout', () => {
-  it('watches until the ramp and the last step just end in time, then goes on step by step', () => {
+  it('watches while ramp and shift can still end in time, then moves on phase by phase', () => {
     expect(phaseOf({ ageMs: 8_000 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({})).toBe(RolloutPhase.Ramp);
     expect(phaseOf(RAMPED)).toBe(RolloutPhase.Shift);
     expect(phaseOf(SHIFTED)).toBe(RolloutPhase.Done);
   });
 
-  // A bad version once got all that was new because the ramp had lasted its second.
-  it('goes from the ramp only on requests that ended in it, on each route, however long it lasts', () => {
+  // A bad version got all new requests because the ramp had lasted its second.
+  it('leaves the ramp only after enough runs in it on each route, however long it lasts', () => {
     const late = { ...RAMPED, phaseAgeMs: 60_000 };
     expect(phaseOf({ ...late, routes: onRoutes({ phaseRuns: 0 }) })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ...late, routes: onRoutes({ phaseRuns: 1 }) })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ...late, routes: onRoutes({ phaseRuns: 2 }) })).toBe(RolloutPhase.Shift);
   });
 
-  it('ends the last step only on requests that ended in it, on each route, however long it lasts', () => {
+  it('ends the shift only after enough runs in it on each route, however long it lasts', () => {
     const late = { ...SHIFTED, phaseAgeMs: 60_000 };
     expect(phaseOf({ ...late, routes: onRoutes({ phaseRuns: 7 }) })).toBe(RolloutPhase.Shift);
     expect(phaseOf({ ...late, routes: onRoutes({ phaseRuns: 8 }) })).toBe(RolloutPhase.Done);
   });
 
-  it('wants evidence of a route with few requests as far as there is any', () => {
+  it('requires less evidence on a route with few requests', () => {
     const rare = { requests: 4, perSecond: 0.4, runs: 2, phaseRuns: 0 };
     expect(phaseOf({ routes: onRoutes(rare) })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ...RAMPED, routes: onRoutes(rare) })).toBe(RolloutPhase.Shift);
@@ -101,15 +101,16 @@
     expect(phaseOf({ ageMs: 10_600, routes: onRoutes(unseen) })).toBe(RolloutPhase.Watch);
   });
 
-  it('begins the last step no sooner than the bound pays for all requests until the deadline', () => {
+  it('begins the shift only when the budget covers all requests until the deadline', () => {
     const taken = (requests: number) => ({ ...EXPOSURE, taken: requests });
-    // 0.78 s and 80 requests a second: 62 and 8 in reserve, of 136 at the deadline.
+    // 0.78 s at 80 requests a second: 62 requests and 8 in reserve, of a budget of 136 at the
+    // deadline.
     expect(phaseOf({ ...RAMPED, exposure: taken(60) })).toBe(RolloutPhase.Shift);
     expect(phaseOf({ ...RAMPED, exposure: taken(70) })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ...RAMPED, ageMs: 11_500, exposure: taken(70) })).toBe(RolloutPhase.Shift);
   });
 
-  it('begins it sooner for a version that has failed nothing, and that the last step can prove', () => {
+  it('begins the shift sooner for a version without failures that the shift can prove', () => {
     const clean = { ...USUAL, failed: 0 };
     const early = { ...RAMPED, ageMs: 10_600 };
     expect(phaseOf(early)).toBe(RolloutPhase.Ramp);
@@ -119,7 +120,7 @@
     expect(phaseOf({ ...early, comparison: clean, exposure: few })).toBe(RolloutPhase.Ramp);
   });
 
-  it('ends that sooner when the version is proven, else when the bound pays for the rest', () => {
+  it('ends the shift early if the version is proven, else once the budget covers the rest', () => {
     const early = { ...SHIFTED, ageMs: 10_900, exposure: { ...EXPOSURE, taken: 100 } };
     expect(decideRollout({ ...FACTS, ...early }).reason).toBe('too early for the bound');
     const proven = { ...USUAL, chanceIfBad: chanceAfter(59) };
@@ -129,14 +130,14 @@
     expect(phaseOf({ ...early, ageMs: 11_900 })).toBe(RolloutPhase.Done);
   });
 
-  it('takes the last step back when nothing is left of the bound', () => {
+  it('returns from the shift to the watch when the budget is used up', () => {
     const spent = { ...EXPOSURE, taken: 128 };
     const early = { ...SHIFTED, ageMs: 11_000, exposure: spent, busyOthers: 1 };
     expect(phaseOf(early)).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ...early, exposure: { ...EXPOSURE, taken: 90 } })).toBe(RolloutPhase.Shift);
   });
 
-  it('does not begin a last step that cannot be over before the deadline, but after it', () => {
+  it('begins no shift that cannot end before the deadline, but begins one after it', () => {
     expect(phaseOf({ ...RAMPED, ageMs: 11_900 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ageMs: 11_900 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ageMs: 12_100 })).toBe(RolloutPhase.Ramp);
@@ -145,18 +146,18 @@
     expect(phaseOf({ ...SHIFTED, ageMs: 13_200, exposure: over })).toBe(RolloutPhase.Done);
   });
 
-  it('begins sooner when reports or the store are slow, or requests last long', () => {
+  it('begins the ramp sooner when reports or the store are slow, or requests take long', () => {
     expect(phaseOf({ ageMs: 10_300 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ageMs: 10_300, reportMs: 300 })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ageMs: 10_300, storeMs: 300 })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ageMs: 10_300, othersEndMs: 800 })).toBe(RolloutPhase.Ramp);
   });
 
-  it('is not done while others run something', () => {
+  it('does not complete while others run requests', () => {
     expect(phaseOf({ ...SHIFTED, ageMs: 30_000, busyOthers: 1 })).toBe(RolloutPhase.Shift);
   });
 
-  it('ends a bad version in every phase, and never takes that back', () => {
+  it('halts a bad version in every phase, and keeps it halted', () => {
     const comparison = { ...USUAL, isBad: true };
     for (const phase of [RolloutPhase.Watch, RolloutPhase.Ramp, RolloutPhase.Shift]) {
       expect(phaseOf({ phase, comparison, ageMs: 0 })).toBe(RolloutPhase.Halt);
@@ -164,54 +165,54 @@
     expect(phaseOf({ phase: RolloutPhase.Halt })).toBe(RolloutPhase.Halt);
   });
 
-  it('rolls a version back that is in doubt when its last step cannot be over in time', () => {
-    const weighty = { ...USUAL, weight: 5, weightWithoutOne: 3 };
+  it('halts a version that is in doubt when its shift cannot end before the deadline', () => {
+    const strong = { ...USUAL, weight: 5, weightWithoutOne: 3 };
     const doubt = '2 of 13 failed read';
-    for (const comparison of [weighty, { ...USUAL, doubt, comparedDoubt: doubt }]) {
+    for (const comparison of [strong, { ...USUAL, doubt, comparedDoubt: doubt }]) {
       expect(phaseOf({ comparison, ageMs: 11_600 })).toBe(RolloutPhase.Watch);
       expect(phaseOf({ comparison, ageMs: 11_800 })).toBe(RolloutPhase.Halt);
       expect(phaseOf({ comparison, ageMs: 12_100 })).toBe(RolloutPhase.Watch);
     }
-    // All at one machine, or while the others got nothing.
+    // All failures at one machine, or only while the others got no requests.
     const notCompared = { ...USUAL, doubt };
     expect(phaseOf({ comparison: notCompared, ageMs: 11_800 })).toBe(RolloutPhase.Watch);
   });
 
-  it('goes back to watching in doubt, without reports or without room', () => {
+  it('returns to the watch in doubt, without reports or without enough slots', () => {
     const doubtful = { ...USUAL, weight: 5, weightWithoutOne: 2 };
     expect(phaseOf({ ...SHIFTED, comparison: doubtful })).toBe(RolloutPhase.Watch);
-    const odd = { ...USUAL, doubt: '2 of 13 failed read' };
-    expect(phaseOf({ ...SHIFTED, comparison: odd })).toBe(RolloutPhase.Watch);
+    const failing = { ...USUAL, doubt: '2 of 13 failed read' };
+    expect(phaseOf({ ...SHIFTED, comparison: failing })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ...SHIFTED, reporting: 5 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ...SHIFTED, targetSlots: 19 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ...SHIFTED, targets: 0 })).toBe(RolloutPhase.Watch);
   });
 
-  it('goes on where the others would have no more room for the requests either', () => {
+  it('goes on when the others have no more slots for the requests either', () => {
     const crowded = { targetSlots: 40, demand: 100 };
     expect(phaseOf({ ...crowded, otherSlots: 40 })).toBe(RolloutPhase.Ramp);
     expect(phaseOf({ ...crowded, otherSlots: 41 })).toBe(RolloutPhase.Watch);
   });
 
-  it('neither completes nor rolls back a version that never comes', () => {
+  it('neither completes nor halts a version that never comes up', () => {
     const missing = { targets: 0, targetSlots: 0, targetAgeMs: undefined };
     expect(phaseOf({ ...missing, ageMs: 60_000 })).toBe(RolloutPhase.Watch);
   });
 
-  it('watches a version that comes late, also after the deadline', () => {
+  it('watches a version that came up late, also after the deadline', () => {
     expect(phaseOf({ ageMs: 30_000, targetAgeMs: 5_000 })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ageMs: 30_000, targetAgeMs: 6_000 })).toBe(RolloutPhase.Ramp);
   });
 
-  it('waits for evidence of each route until shortly before the deadline', () => {
+  it('waits for evidence on each route until shortly before the deadline', () => {
     const routes = onRoutes({ runs: 3 });
     expect(phaseOf({ ageMs: 10_700, routes })).toBe(RolloutPhase.Watch);
     expect(phaseOf({ ageMs: 11_100, routes })).toBe(RolloutPhase.Ramp);
   });
 });
 
-describe('what a phase gives the version', () => {
-  it('asks more of the requests on a route that has few', () => {
+describe('allowance, shares and limits by phase', () => {
+  it('gives the version a larger share of a route with few requests', () => {
     const routes = onRoutes({ requests: 40, perSecond: 4, runs: 2 });
     const facts = { ...FACTS, ageMs: 6_000, routes };
     const shares = sharesFor(RolloutPhase.Watch, facts);
@@ -220,7 +221,7 @@
     expect(ramp.get('list')).toBeGreaterThan(ramp.get('read') ?? 1);
   });
 
-  it('pays for the ramp apart from the last step, and gives nothing more in the end', () => {
+  it('limits the ramp to its own budget, and gives a halted version nothing more', () => {
     const ramp = allowanceFor(RolloutPhase.Ramp, {
       ...FACTS,
       phase: RolloutPhase.Ramp,
@@ -234,17 +235,17 @@
     }
   });
 
-  it('lifts the limits of a version that is likely good in the last step, on reports made in it', () => {
+  it('lifts the limits in the shift for a likely good version, by reports of the shift', () => {
     const likely = { ...USUAL, chanceIfBad: chanceAfter(45) };
     const shifted = { ...FACTS, ...SHIFTED, comparison: likely };
     expect(isUnlimited(RolloutPhase.Shift, shifted)).toBe(true);
     expect(isUnlimited(RolloutPhase.Shift, { ...shifted, comparison: USUAL })).toBe(false);
-    const untold = { ...shifted, routes: onRoutes({ phaseRuns: 0 }) };
-    expect(isUnlimited(RolloutPhase.Shift, untold)).toBe(false);
+    const withoutRuns = { ...shifted, routes: onRoutes({ phaseRuns: 0 }) };
+    expect(isUnlimited(RolloutPhase.Shift, withoutRuns)).toBe(false);
     expect(isUnlimited(RolloutPhase.Ramp, { ...shifted, phase: RolloutPhase.Ramp })).toBe(false);
   });
 
-  it('asks for more evidence where the bound leaves room for it', () => {
+  it('requires more evidence when the budget allows it', () => {
     const comparison = { ...USUAL, chanceIfBad: chanceAfter(45) };
     const exposure = { ...EXPOSURE, requests: 4_000 };
     const shifted = { ...FACTS, ...SHIFTED, exposure };
@@ -253,7 +254,7 @@
     expect(isUnlimited(RolloutPhase.Shift, { ...shifted, comparison: shown })).toBe(true);
   });
 
-  it('gives what is left of the ramp to the route that has not had its part', () => {
+  it('gives the rest of the ramp to the route that has not had its part', () => {
     const routes = [
       { ...READ, phaseRuns: 60 },
       { ...LIST, phaseRuns: 0 },
@@ -266,7 +267,7 @@
     expect(shares.get('read')).toBe(0.01);
   });
 
-  it('lifts them where nobody else serves, and after the deadline', () => {
+  it('lifts the limits when all owners have the version, and after the deadline', () => {
     expect(isUnlimited(RolloutPhase.Watch, FACTS)).toBe(false);
     expect(isUnlimited(RolloutPhase.Watch, { ...FACTS, owners: 5 })).toBe(true);
     expect(isUnlimited(RolloutPhase.Watch, { ...FACTS, ageMs: 12_000 })).toBe(true);
--- a/src/rollout/rolloutMessages.test.ts
+++ b/src/rollout/rolloutMessages.test.ts
@@ -21,7 +21,7 @@
   cancellations: fc.array(amounts),
 });
 
-const phaseNews = fc.record({
+const phaseMessage = fc.record({
   kind: fc.constant(RolloutMessageKind.Phase as const),
   service: fc.string(),
   orderId: fc.string(),
@@ -73,10 +73,10 @@
   isUnlimited: fc.boolean(),
 });
 
-const news: fc.Arbitrary<RolloutMessage> = fc.oneof(phaseNews, evidence, resignation, limit);
+const messages: fc.Arbitrary<RolloutMessage> = fc.oneof(phaseMessage, evidence, resignation, limit);
 
-/** Of a type that no writer means, some of which no string or number can be made of. */
-const oddities = fc.oneof(
+/** Values of unexpected types; some cannot be converted to a string or number. */
+const unexpectedValues = fc.oneof(
   fc.anything(),
   fc.constantFrom(
     Number.NaN,
@@ -91,35 +91,40 @@
   ),
 );
 
-/** News of which one part, at any depth of two, is something else. */
-const spoilt = fc.tuple(news, fc.nat(), fc.nat(), oddities).map(([told, place, inner, odd]) => {
-  const list = encodeRolloutMessage(told);
-  const at = place % list.length;
-  const part = list[at];
-  if (Array.isArray(part) && part.length > 0 && inner % 2 === 0) {
-    list[at] = part.map((each, index) => (index === inner % part.length ? odd : each));
-  } else {
-    list[at] = odd;
-  }
-  return list;
-});
+/**
+ * Encoded messages in which one value, on the first or second level, is replaced by an unexpected
+ * one.
+ */
+const malformed = fc
+  .tuple(messages, fc.nat(), fc.nat(), unexpectedValues)
+  .map(([message, place, inner, unexpected]) => {
+    const list = encodeRolloutMessage(message);
+    const at = place % list.length;
+    const part = list[at];
+    if (Array.isArray(part) && part.length > 0 && inner % 2 === 0) {
+      list[at] = part.map((each, index) => (index === inner % part.length ? unexpected : each));
+    } else {
+      list[at] = unexpected;
+    }
+    return list;
+  });
 
-/** Where a report's list holds the load. */
-const LOAD_PLACE = 11;
+/** Index of the load in the list of a report. */
+const LOAD_INDEX = 11;
 
-describe('news of roll-outs', () => {
-  it('come out as they went in', () => {
+describe('roll-out messages', () => {
+  it('are decoded as they were encoded', () => {
     fc.assert(
-      fc.property(news, (told) => {
-        expect(decodeRolloutMessage(decodeValue(encodeValue(encodeRolloutMessage(told))))).toEqual(
-          told,
-        );
+      fc.property(messages, (message) => {
+        expect(
+          decodeRolloutMessage(decodeValue(encodeValue(encodeRolloutMessage(message)))),
+        ).toEqual(message);
       }),
       { seed: 31, numRuns: 200 },
     );
   });
 
-  it('are none when they are something else', () => {
+  it('decode to undefined from any other value', () => {
     fc.assert(
       fc.property(fc.anything(), (value) => {
         expect(decodeRolloutMessage(value)).toBeUndefined();
@@ -128,18 +133,18 @@
     );
   });
 
-  it('hold nothing but amounts where amounts belong, whatever was written', () => {
+  it('have only finite numbers of 0 or more once decoded, also from malformed lists', () => {
     fc.assert(
-      fc.property(spoilt, (value) => {
-        const read = decodeRolloutMessage(value);
-        expect(amountsOf(read).filter((each) => !(each >= 0 && each < Infinity))).toEqual([]);
+      fc.property(malformed, (value) => {
+        const decoded = decodeRolloutMessage(value);
+        expect(amountsOf(decoded).filter((each) => !(each >= 0 && each < Infinity))).toEqual([]);
       }),
       { seed: 33, numRuns: 1_000 },
     );
   });
 
   it.each([['1'], [undefined], [null], [-1], [Number.NaN], [{ toString: 1, valueOf: 1 }], [[3]]])(
-    'do not say that an owner runs nothing when its load reads %j',
+    'are rejected, and not decoded as a load of 0, when the load is %j',
     (load) => {
       const list = encodeRolloutMessage({
         kind: RolloutMessageKind.Evidence,
@@ -160,18 +165,18 @@
         counts: new Map(),
       });
       expect(decodeRolloutMessage(list)).toBeDefined();
-      expect(decodeRolloutMessage(list.with(LOAD_PLACE, load))).toBeUndefined();
+      expect(decodeRolloutMessage(list.with(LOAD_INDEX, load))).toBeUndefined();
     },
   );
 });
 
-function amountsOf(read: RolloutMessage | undefined): number[] {
-  switch (read?.kind) {
+function amountsOf(decoded: RolloutMessage | undefined): number[] {
+  switch (decoded?.kind) {
     case RolloutMessageKind.Phase:
-      return [read.ageMs, ...(read.plan?.shares.values() ?? [])];
+      return [decoded.ageMs, ...(decoded.plan?.shares.values() ?? [])];
     case RolloutMessageKind.Evidence: {
-      const { ageMs, readyMs = 0, slots, load, sequence, taken, limit } = read;
-      const routes = [...read.counts.values()].flatMap(
+      const { ageMs, readyMs = 0, slots, load, sequence, taken, limit } = decoded;
+      const routes = [...decoded.counts.values()].flatMap(
         ({ answered, failed, crashes, durations, cancellations }) => [
           answered,
           failed,
@@ -183,13 +188,13 @@
       return [ageMs, readyMs, slots, load, sequence, taken, limit, ...routes];
     }
     case RolloutMessageKind.Limit:
-      return [read.limit];
+      return [decoded.limit];
     default:
       return [];
   }
 }
 
-describe('what is known of an order', () => {
+describe('the state of an order', () => {
   const order = {
     service: 'desk',
     targetVersion: 'v2',
@@ -200,25 +205,25 @@
 
   const outside = { bounds: { exposureShare: 0.1, exposureSlack: 50 }, storeMs: 20 };
 
-  it('stays when news that are spoilt come', () => {
+  it('stays valid when malformed messages arrive', () => {
     fc.assert(
-      fc.property(fc.array(spoilt, { maxLength: 5 }), (values) => {
+      fc.property(fc.array(malformed, { maxLength: 5 }), (values) => {
         const clock = { now: () => 50 };
-        const book = createRolloutTracker({ clock, staleMs: () => 3_000 });
-        book.applyOrder(order);
+        const tracker = createRolloutTracker({ clock, staleMs: () => 3_000 });
+        tracker.applyOrder(order);
         const decider = createRolloutDecider(clock, order.targetVersion);
         for (const value of values) {
           const list = value.with(1, 'desk').with(2, '1');
-          const read = decodeRolloutMessage(list);
-          if (read?.kind === RolloutMessageKind.Phase) {
-            book.applyPhase(read);
-          } else if (read?.kind === RolloutMessageKind.Evidence) {
-            book.noteAge(read.service, read.orderId, read.ageMs);
-            decider.addReport(read, read.ageMs);
+          const decoded = decodeRolloutMessage(list);
+          if (decoded?.kind === RolloutMessageKind.Phase) {
+            tracker.applyPhase(decoded);
+          } else if (decoded?.kind === RolloutMessageKind.Evidence) {
+            tracker.noteAge(decoded.service, decoded.orderId, decoded.ageMs);
+            decider.addReport(decoded, decoded.ageMs);
           }
         }
-        const running = book.running('desk');
-        expect(book.view('desk')?.order).toEqual(order);
+        const running = tracker.running('desk');
+        expect(tracker.view('desk')?.order).toEqual(order);
         if (running) {
           expect(running.ageMs).toBeGreaterThanOrEqual(0);
           expect(running.ageMs).toBeLessThan(Infinity);
--- a/src/rollout/rolloutTracker.test.ts
+++ b/src/rollout/rolloutTracker.test.ts
@@ -12,32 +12,32 @@
 
 function setUp() {
   let now = 0;
-  const book = createRolloutTracker({ clock: { now: () => now }, staleMs: () => 3_000 });
-  book.applyOrder(ORDER);
-  const tell = (phase: RolloutPhase, ageMs = 0, orderId = '1') =>
-    book.applyPhase({ service: 'desk', orderId, phase, ageMs });
+  const tracker = createRolloutTracker({ clock: { now: () => now }, staleMs: () => 3_000 });
+  tracker.applyOrder(ORDER);
+  const announce = (phase: RolloutPhase, ageMs = 0, orderId = '1') =>
+    tracker.applyPhase({ service: 'desk', orderId, phase, ageMs });
   const pass = (ms: number) => {
     now += ms;
   };
-  return { book, tell, pass };
+  return { tracker, announce, pass };
 }
 
-const phaseIn = ({ book }: ReturnType<typeof setUp>) => book.running('desk')?.phase;
+const phaseIn = ({ tracker }: ReturnType<typeof setUp>) => tracker.running('desk')?.phase;
 
-describe('RolloutBook', () => {
-  it('goes back to watching when a larger share is not told again', () => {
+describe('RolloutTracker', () => {
+  it('returns to the watch when a phase with a larger share is not announced again', () => {
     const setup = setUp();
-    setup.tell(RolloutPhase.Shift);
+    setup.announce(RolloutPhase.Shift);
     setup.pass(PHASE_LEASE_MS);
     expect(phaseIn(setup)).toBe(RolloutPhase.Shift);
     setup.pass(1);
     expect(phaseIn(setup)).toBe(RolloutPhase.Watch);
   });
 
-  it('keeps a version halted whatever a second decider says', () => {
+  it('keeps a version halted when a second leader announces another phase', () => {
     const setup = setUp();
-    setup.tell(RolloutPhase.Halt);
-    setup.tell(RolloutPhase.Shift);
+    setup.announce(RolloutPhase.Halt);
+    setup.announce(RolloutPhase.Shift);
     setup.pass(60_000);
     expect(phaseIn(setup)).toBe(RolloutPhase.Halt);
   });
@@ -45,83 +45,86 @@
   it.each([
     [RolloutState.RolledBack, RolloutPhase.Halt],
     [RolloutState.Completed, RolloutPhase.Done],
-  ])('is over at once when the store tells %s before the decider does', (state, phase) => {
-    const setup = setUp();
-    setup.tell(RolloutPhase.Shift);
-    setup.book.applyOrder({ ...ORDER, state });
-    expect(setup.book.view('desk')?.phase).toBe(phase);
-  });
+  ])(
+    'ends the roll-out at once when the store reports %s before the leader does',
+    (state, phase) => {
+      const setup = setUp();
+      setup.announce(RolloutPhase.Shift);
+      setup.tracker.applyOrder({ ...ORDER, state });
+      expect(setup.tracker.view('desk')?.phase).toBe(phase);
+    },
+  );
 
-  it('takes no word about another order', () => {
+  it('ignores a phase of another order', () => {
     const setup = setUp();
-    expect(setup.tell(RolloutPhase.Halt, 0, '2')).toBe(false);
+    expect(setup.announce(RolloutPhase.Halt, 0, '2')).toBe(false);
     expect(phaseIn(setup)).toBe(RolloutPhase.Watch);
   });
 
-  it('takes the greatest age that any node knows', () => {
+  it('uses the greatest age of the order that any node reports', () => {
     const setup = setUp();
-    setup.tell(RolloutPhase.Watch, 7_000);
+    setup.announce(RolloutPhase.Watch, 7_000);
     setup.pass(1_000);
-    setup.book.noteAge('desk', '1', 3_000);
-    expect(setup.book.running('desk')?.ageMs).toBe(8_000);
+    setup.tracker.noteAge('desk', '1', 3_000);
+    expect(setup.tracker.running('desk')?.ageMs).toBe(8_000);
   });
 
-  it('ends once: a status that says otherwise changes nothing', () => {
-    const { book } = setUp();
-    expect(book.applyOrder({ ...ORDER, state: RolloutState.Completed })).toBe(true);
-    expect(book.applyOrder({ ...ORDER, state: RolloutState.RolledBack })).toBe(false);
-    expect(book.view('desk')?.order.state).toBe(RolloutState.Completed);
+  it('keeps the first final state of an order when another one arrives', () => {
+    const { tracker } = setUp();
+    expect(tracker.applyOrder({ ...ORDER, state: RolloutState.Completed })).toBe(true);
+    expect(tracker.applyOrder({ ...ORDER, state: RolloutState.RolledBack })).toBe(false);
+    expect(tracker.view('desk')?.order.state).toBe(RolloutState.Completed);
   });
 
   it.each([undefined, RolloutState.Running])(
-    'begins anew when an order that ended was replaced unseen and put back: its status is %s',
+    'starts over when an ended order was replaced unseen and made again with status %s',
     (state) => {
-      const { book, tell, pass } = setUp();
-      const first = book.running('desk')?.generation;
-      tell(RolloutPhase.Halt);
-      book.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
+      const { tracker, announce, pass } = setUp();
+      const first = tracker.running('desk')?.generation;
+      announce(RolloutPhase.Halt);
+      tracker.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
       pass(20_000);
-      expect(book.applyOrder({ ...ORDER, state })).toBe(true);
-      const running = book.running('desk');
+      expect(tracker.applyOrder({ ...ORDER, state })).toBe(true);
+      const running = tracker.running('desk');
       expect(running).toMatchObject({ phase: RolloutPhase.Watch, ageMs: 0 });
       expect(running?.generation).not.toBe(first);
     },
   );
 
-  it('says no more of a service some time after the completion', () => {
+  it('has no view of a service from 30 s after its completion', () => {
     const setup = setUp();
-    setup.book.applyOrder({ ...ORDER, state: RolloutState.Completed });
+    setup.tracker.applyOrder({ ...ORDER, state: RolloutState.Completed });
     setup.pass(30_001);
-    expect(setup.book.view('desk')).toBeUndefined();
+    expect(setup.tracker.view('desk')).toBeUndefined();
   });
 
-  it('is stale when neither the store nor a decider is heard of', () => {
+  it('is stale when nothing arrives from either the store or a leader', () => {
     const setup = setUp();
     setup.pass(3_001);
-    expect(setup.book.view('desk')?.isStale).toBe(true);
-    setup.tell(RolloutPhase.Watch);
-    expect(setup.book.view('desk')?.isStale).toBe(false);
+    expect(setup.tracker.view('desk')?.isStale).toBe(true);
+    setup.announce(RolloutPhase.Watch);
+    expect(setup.tracker.view('desk')?.isStale).toBe(false);
     setup.pass(3_001);
-    setup.book.markSynced();
-    expect(setup.book.view('desk')?.isStale).toBe(false);
+    setup.tracker.markSynced();
+    expect(setup.tracker.view('desk')?.isStale).toBe(false);
   });
 
-  it('remembers a version whose order was removed or replaced, until it is ordered again', () => {
-    const { book } = setUp();
-    book.applyOrder({ ...ORDER, id: '2', targetVersion: 'v3' });
-    expect([...book.withdrawn('desk')]).toEqual(['v2']);
-    book.remove('desk');
-    expect([...book.withdrawn('desk')]).toEqual(['v2', 'v3']);
-    book.applyOrder({ ...ORDER, id: '3' });
-    expect([...book.withdrawn('desk')]).toEqual(['v3']);
+  it('keeps a version withdrawn after its order is removed or replaced until ordered again', () => {
+    const { tracker } = setUp();
+    tracker.applyOrder({ ...ORDER, id: '2', targetVersion: 'v3' });
+    expect([...tracker.withdrawn('desk')]).toEqual(['v2']);
+    tracker.remove('desk');
+    expect([...tracker.withdrawn('desk')]).toEqual(['v2', 'v3']);
+    tracker.applyOrder({ ...ORDER, id: '3' });
+    expect([...tracker.withdrawn('desk')]).toEqual(['v3']);
   });
 
-  it('begins anew when the same order is made again', () => {
-    const { book } = setUp();
-    book.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
-    book.remove('desk');
-    book.applyOrder({ ...ORDER, id: '2' });
-    expect(book.running('desk')?.phase).toBe(RolloutPhase.Watch);
-    expect(book.withdrawn('desk').size).toBe(0);
+  it('starts over when an identical order is made again after the first was removed', () => {
+    const { tracker } = setUp();
+    tracker.applyOrder({ ...ORDER, state: RolloutState.RolledBack });
+    tracker.remove('desk');
+    tracker.applyOrder({ ...ORDER, id: '2' });
+    expect(tracker.running('desk')?.phase).toBe(RolloutPhase.Watch);
+    expect(tracker.withdrawn('desk').size).toBe(0);
   });
 });
--- a/src/rollout/runLimiter.test.ts
+++ b/src/rollout/runLimiter.test.ts
@@ -1,28 +1,36 @@
 import { expect, it } from 'vitest';
 import { createRunLimiter } from './runLimiter.js';
 
-it('lets nothing through before the first word, and no more than the limit after it', () => {
-  const gate = createRunLimiter();
-  expect(gate.tryAcquire()).toBe(false);
-  gate.raiseLimit({ limit: 2, isUnlimited: false });
-  expect([gate.tryAcquire(), gate.tryAcquire(), gate.tryAcquire()]).toEqual([true, true, false]);
-  expect(gate.taken).toBe(2);
+it('admits nothing before the first limit arrives, and no more than the limit after it', () => {
+  const limiter = createRunLimiter();
+  expect(limiter.tryAcquire()).toBe(false);
+  limiter.raiseLimit({ limit: 2, isUnlimited: false });
+  expect([limiter.tryAcquire(), limiter.tryAcquire(), limiter.tryAcquire()]).toEqual([
+    true,
+    true,
+    false,
+  ]);
+  expect(limiter.taken).toBe(2);
 });
 
-it('gives back what has not reached the back end', () => {
-  const gate = createRunLimiter();
-  gate.raiseLimit({ limit: 1, isUnlimited: false });
-  gate.tryAcquire();
-  gate.release();
-  expect(gate.tryAcquire()).toBe(true);
+it('admits another request after one that did not reach the back end is released', () => {
+  const limiter = createRunLimiter();
+  limiter.raiseLimit({ limit: 1, isUnlimited: false });
+  limiter.tryAcquire();
+  limiter.release();
+  expect(limiter.tryAcquire()).toBe(true);
 });
 
-it('keeps the highest limit when words overtake one another, and counts while it is open', () => {
-  const gate = createRunLimiter();
-  gate.raiseLimit({ limit: 2, isUnlimited: true });
-  gate.raiseLimit({ limit: 1, isUnlimited: true });
-  expect([gate.tryAcquire(), gate.tryAcquire(), gate.tryAcquire()]).toEqual([true, true, true]);
-  gate.raiseLimit({ limit: 2, isUnlimited: false });
-  expect(gate.tryAcquire()).toBe(false);
-  expect(gate.taken).toBe(3);
+it('keeps the highest limit when messages overtake one another, and counts while unlimited', () => {
+  const limiter = createRunLimiter();
+  limiter.raiseLimit({ limit: 2, isUnlimited: true });
+  limiter.raiseLimit({ limit: 1, isUnlimited: true });
+  expect([limiter.tryAcquire(), limiter.tryAcquire(), limiter.tryAcquire()]).toEqual([
+    true,
+    true,
+    true,
+  ]);
+  limiter.raiseLimit({ limit: 2, isUnlimited: false });
+  expect(limiter.tryAcquire()).toBe(false);
+  expect(limiter.taken).toBe(3);
 });
--- a/src/rollout/serviceTraffic.test.ts
+++ b/src/rollout/serviceTraffic.test.ts
@@ -3,10 +3,10 @@
 import { RolloutPhase } from './rolloutOrder.js';
 import { createServiceTraffic } from './serviceTraffic.js';
 
-/** A report made at an age of the order, in milliseconds, of so many answered requests. */
+/** A report of `answered` requests, made when the order was `ageMs` old. */
 function report(node: string, ageMs: number, answered: number, more: Partial<EvidenceReport> = {}) {
   const counts = { answered, failed: 0, crashes: 0, durations: [], cancellations: [] };
-  const news: EvidenceReport = {
+  const evidence: EvidenceReport = {
     kind: RolloutMessageKind.Evidence,
     service: 'desk',
     orderId: '1',
@@ -25,11 +25,11 @@
     counts: new Map([['read', counts]]),
     ...more,
   };
-  return news;
+  return evidence;
 }
 
 describe('ServiceTraffic', () => {
-  it('takes the rate of the last two seconds, by when reports were made and not when they came', () => {
+  it('computes the rate of the last two seconds by the times when reports were made', () => {
     const traffic = createServiceTraffic();
     for (const [second, answered] of [0, 10, 20, 40, 60].entries()) {
       traffic.addReport(report('old', second * 1_000, answered), false, 9_000);
@@ -40,7 +40,7 @@
     expect(traffic.routes(RolloutPhase.Watch, 12_000)[0]?.perSecond).toBe(0);
   });
 
-  it('counts requests that move from one owner to another once', () => {
+  it('counts requests once that move from one owner to another', () => {
     const traffic = createServiceTraffic();
     const rates: number[] = [];
     for (let ageMs = 250; ageMs <= 8_000; ageMs += 250) {
@@ -54,7 +54,7 @@
     expect(Math.min(...rates)).toBeGreaterThan(99);
   });
 
-  it('tells what ended at the version in the phase that its owner was in', () => {
+  it('counts the runs of the version in a phase by the phase that its owner was in', () => {
     const traffic = createServiceTraffic();
     const ramp = { phase: RolloutPhase.Ramp };
     traffic.addReport(report('new', 1_000, 10), true, 1_000);
@@ -64,7 +64,7 @@
     expect(traffic.routes(RolloutPhase.Shift, 1_500)[0]).toMatchObject({ runs: 20, phaseRuns: 0 });
   });
 
-  it('keeps the counts of an owner that has counted anew since', () => {
+  it('keeps the earlier counts of an owner whose counts started from zero', () => {
     const traffic = createServiceTraffic();
     traffic.addReport(report('new', 1_000, 10), true, 1_000);
     traffic.addReport(report('new', 2_000, 3, { countId: 'new-2' }), true, 2_000);
--- a/src/rollout/versionComparison.test.ts
+++ b/src/rollout/versionComparison.test.ts
@@ -1,4 +1,8 @@
-/** The comparison on noise and on bad versions, with seeded chance and no network. */
+/**
+ * Runs the comparison on noise and on bad versions with seeded random numbers and no network.
+ * Guards against bad versions that are found too late and good ones that noise or a faulty machine
+ * makes look bad.
+ */
 import { expect, it } from 'vitest';
 import { seededRandom } from '../../lab/random.js';
 import { createRunCounts, RunResult } from './runCounts.js';
@@ -15,7 +19,7 @@
 const TARGET = 'v2';
 const OTHER = 'v1';
 
-/** What a version makes of its requests at a moment of the roll-out. */
+/** How a version handles its requests at a moment of the roll-out. */
 interface Behaviour {
   readonly failing: number;
   /** Share of the requests whose connection is lost. */
@@ -38,19 +42,22 @@
   readonly routes?: number;
 }
 
-/** Runs a comparison; the time at which the version was found bad, or undefined. */
+/**
+ * Runs a comparison. Returns the time at which the version was found bad; undefined if it was not.
+ */
 function foundBadAt(trial: Trial): number | undefined {
   const { seed, targets = 4, targetRate = 20, othersRate = 180, durationMs = 12_000 } = trial;
   const { target = () => USUAL, others = USUAL, routes = 2 } = trial;
   const random = seededRandom(seed);
   const comparison = createVersionComparison();
   const counts = Array.from({ length: targets + OTHERS }, createRunCounts);
-  // Durations spread as those of services do: most near the median, few several times longer.
+  // Durations are log-normal, as those of services are: most near the median, few several times
+  // longer.
   const duration = () => {
     const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
     return 120 * Math.exp(0.4 * normal);
   };
-  const note = (
+  const record = (
     place: number,
     version: string,
     behaviour: Behaviour,
@@ -74,12 +81,12 @@
     for (let each = 0; each < (targetRate * STEP_MS) / 1_000; each += 1) {
       const node = Math.floor(random() * targets);
       const route = Math.floor(random() * routes);
-      note(node, TARGET, target(node, at, route), at, route);
+      record(node, TARGET, target(node, at, route), at, route);
     }
     for (let each = 0; each < (othersRate * STEP_MS) / 1_000; each += 1) {
       const behaviour = typeof others === 'function' ? others(at) : others;
       const node = targets + Math.floor(random() * OTHERS);
-      note(node, OTHER, behaviour, at, Math.floor(random() * routes));
+      record(node, OTHER, behaviour, at, Math.floor(random() * routes));
     }
     counts.forEach((own, place) => {
       const isTarget = place < targets;
@@ -123,33 +130,33 @@
 const inTime = (found: readonly (number | undefined)[], fromMs = 0) =>
   found.filter((at) => at !== undefined && at - fromMs <= 5_000).length;
 
-it('finds most versions that fail one request in ten, half of them within 5 s at 20 requests a second', () => {
+it('finds most versions that fail 1 request in 10, half of them in 5 s at 20 requests/s', () => {
   const found = findings(300, { target: () => ({ ...USUAL, failing: 0.11 }) });
   expect(foundBad(found)).toBeGreaterThanOrEqual(290);
   expect(inTime(found)).toBeGreaterThanOrEqual(150);
 });
 
-it('finds a version that is three times slower within 5 s', () => {
+it('finds a version within 5 s that is three times slower', () => {
   const found = findings(300, {
     target: () => ({ ...USUAL, slowness: 3, slowShare: 1 }),
   });
   expect(inTime(found)).toBe(300);
 });
 
-it('finds a version that fails half of its requests, or makes half of them eight times slower', () => {
+it('finds a version in 5 s that fails half of its requests or makes half 8 times slower', () => {
   expect(inTime(findings(200, { target: () => ({ ...USUAL, failing: 0.5 }) }))).toBe(200);
   const slow = findings(200, { target: () => ({ ...USUAL, slowness: 8, slowShare: 0.5 }) });
   expect(inTime(slow)).toBe(200);
 });
 
-it('finds a version that turns bad late as quickly', () => {
+it('finds a version that turns bad late within 5 s as well', () => {
   const found = findings(200, {
     target: (_node, at) => (at > 6_000 ? { ...USUAL, failing: 0.5 } : USUAL),
   });
   expect(inTime(found, 6_000)).toBe(200);
 });
 
-it('finds a version that is bad on one route alone', () => {
+it('finds a version that is bad on only one route', () => {
   const found = findings(200, {
     routes: 4,
     target: (_node, _at, route) => (route === 1 ? { ...USUAL, failing: 0.5 } : USUAL),
@@ -158,43 +165,43 @@
   expect(inTime(found)).toBeGreaterThanOrEqual(190);
 });
 
-it('takes plain noise for a bad version in fewer than one roll-out of 500', () => {
+it('finds a good version bad in fewer than one roll-out of 500', () => {
   expect(foundBad(findings(1_000, {}))).toBeLessThan(2);
 }, 60_000);
 
-it('does not blame the version for what the others show as well', () => {
+it('does not find a version bad for failures and slowness that the others have as well', () => {
   const both: Behaviour = { failing: 0.2, slowness: 3, slowShare: 0.3 };
   expect(foundBad(findings(300, { target: () => both, others: both }))).toBeLessThan(2);
 });
 
-it('seldom blames the version for one machine in trouble', () => {
+it('seldom finds a version bad for one faulty machine', () => {
   const found = findings(300, {
     target: (node) => (node === 0 ? { failing: 0.4, slowness: 4, slowShare: 1 } : USUAL),
   });
   expect(foundBad(found)).toBeLessThan(9);
 });
 
-it('does not blame the version for faults that come over all back ends for a moment', () => {
+it('does not find a version bad for short faults at all back ends at once', () => {
   const burst = (at: number): Behaviour =>
     at % 3_000 <= 500 ? { failing: 0.3, slowness: 8, slowShare: 0.6 } : USUAL;
   const found = findings(300, { target: (_node, at) => burst(at), others: burst });
   expect(foundBad(found)).toBeLessThan(5);
 });
 
-it('does not blame the version for connections that two of its machines lose now and then', () => {
+it('does not find a version bad for connections that two of its machines lose occasionally', () => {
   const found = findings(300, {
     target: (node) => (node < 2 ? { ...USUAL, losing: 0.12 } : USUAL),
   });
   expect(foundBad(found)).toBeLessThan(2);
 });
 
-it('finds a version that crashes under half of its requests', () => {
+it('finds a version that crashes on half of its requests', () => {
   const found = findings(200, { target: () => ({ ...USUAL, losing: 0.5 }) });
   expect(foundBad(found)).toBe(200);
   expect(inTime(found)).toBeGreaterThanOrEqual(190);
 });
 
-it('counts connections that are lost at the same moment as one crash', () => {
+it('counts connections lost at about the same moment as one crash', () => {
   const counts = createRunCounts();
   const lost = {
     service: 'desk',
--- a/src/rollout/versionSelector.test.ts
+++ b/src/rollout/versionSelector.test.ts
@@ -1,4 +1,7 @@
-/** The shares that many nodes give a version, each by itself, and what they sum up to. */
+/**
+ * Guards against a version that receives more than the bound in sum over all nodes, each of which
+ * limits it on its own, and against requests to versions that are bad, withdrawn or unknown.
+ */
 import { describe, expect, it } from 'vitest';
 import { type RolloutOrder, RolloutPhase, RolloutState } from './rolloutOrder.js';
 import type { RolloutView, VersionedOwner } from './versionRules.js';
@@ -24,13 +27,13 @@
   readonly owners?: readonly VersionedOwner[];
   readonly nodes?: number | (() => number);
   readonly random?: () => number;
-  readonly isListed?: boolean;
+  readonly isSynced?: boolean;
   readonly withdrawn?: readonly string[];
   readonly now?: () => number;
 }
 
-function sharesOf(setup: Setup) {
-  const { owners = OWNERS, nodes = 1, isListed = true, withdrawn = [], now = () => 0 } = setup;
+function selectorOf(setup: Setup) {
+  const { owners = OWNERS, nodes = 1, isSynced = true, withdrawn = [], now = () => 0 } = setup;
   return createVersionSelector({
     clock: { now },
     bounds: () => BOUNDS,
@@ -48,19 +51,19 @@
         isStale: false,
         ...setup.view,
       },
-    isSynced: () => isListed,
+    isSynced: () => isSynced,
     withdrawn: () => new Set(withdrawn),
   });
 }
 
-/** Offers one request as a dispatch does: the preferred owners first, then the usual ones. */
-function offer(shares: ReturnType<typeof sharesOf>, owners = OWNERS): string | undefined {
-  const share = shares.select('desk', 'read');
-  const { preferred, fallback = () => true } = share;
+/** Offers one request as the dispatch does: to the preferred owners first, then to the fallback. */
+function offer(selector: ReturnType<typeof selectorOf>, owners = OWNERS): string | undefined {
+  const selection = selector.select('desk', 'read');
+  const { preferred, fallback = () => true } = selection;
   const names = owners.map(({ node }) => node);
   const first = (preferred && names.find(preferred)) ?? names.find(fallback);
   if (first) {
-    share.noteOffer(first);
+    selection.noteOffer(first);
   }
   return first;
 }
@@ -68,15 +71,15 @@
 const toTarget = (offered: readonly (string | undefined)[]) =>
   offered.filter((node) => node?.startsWith('new')).length;
 
-describe('VersionShares', () => {
-  it.each([20, 200, 2_000])('%i nodes together stay far inside the bound', (nodes) => {
-    // Each request looks for the version: nothing but the bound holds it back.
+describe('VersionSelector', () => {
+  it.each([20, 200, 2_000])('keeps %i nodes together far inside the bound', (nodes) => {
+    // Every request prefers the version, so that only the bound limits it.
     const setup = { view: {}, nodes, random: () => 0 };
-    const ingresses = Array.from({ length: nodes }, () => sharesOf(setup));
+    const ingresses = Array.from({ length: nodes }, () => selectorOf(setup));
     const offered: (string | undefined)[] = [];
     for (const perNode of [1, 5, 40]) {
-      for (const shares of ingresses) {
-        offered.push(...Array.from({ length: perNode }, () => offer(shares)));
+      for (const selector of ingresses) {
+        offered.push(...Array.from({ length: perNode }, () => offer(selector)));
       }
       const most = offered.length * BOUNDS.exposureShare + BOUNDS.exposureSlack;
       expect(toTarget(offered)).toBeLessThanOrEqual(most / 2);
@@ -84,104 +87,104 @@
     expect(toTarget(offered)).toBeGreaterThan(0);
   });
 
-  it('keeps its part of the slack when others are away', () => {
-    let known = 10;
-    const shares = sharesOf({ view: {}, nodes: () => known, random: () => 0 });
-    const first = offer(shares);
-    known = 1;
-    const all = [first, ...Array.from({ length: 200 }, () => offer(shares))];
+  it('does not use more of the slack while other nodes are away', () => {
+    let nodeCount = 10;
+    const selector = selectorOf({ view: {}, nodes: () => nodeCount, random: () => 0 });
+    const first = offer(selector);
+    nodeCount = 1;
+    const all = [first, ...Array.from({ length: 200 }, () => offer(selector))];
     expect(toTarget(all)).toBe(12);
   });
 
-  it('gives the version enough to be judged', () => {
-    const shares = sharesOf({ view: {} });
-    const offered = Array.from({ length: 4_000 }, () => offer(shares));
+  it('sends the version more than 4% of the requests, enough to judge it', () => {
+    const selector = selectorOf({ view: {} });
+    const offered = Array.from({ length: 4_000 }, () => offer(selector));
     expect(toTarget(offered)).toBeGreaterThan(4_000 * 0.04);
   });
 
-  it('counts anew for the same order made again: requests of before bring no burst', () => {
-    let begun = 1;
-    const shares = sharesOf({
+  it('resets its counts when an identical order is made again, which prevents a burst', () => {
+    let generation = 1;
+    const selector = selectorOf({
       view: {
         get generation() {
-          return begun;
+          return generation;
         },
       },
     });
     for (let each = 0; each < 10_000; each += 1) {
-      shares.select('desk', 'read');
+      selector.select('desk', 'read');
     }
-    begun = 2;
-    const offered = Array.from({ length: 1_000 }, () => offer(shares));
+    generation = 2;
+    const offered = Array.from({ length: 1_000 }, () => offer(selector));
     expect(toTarget(offered)).toBeLessThanOrEqual(1_000 * 0.05 + 25);
   });
 
-  it('gives back what has not reached a back end, and counts each further offer', () => {
-    const shares = sharesOf({ view: {}, random: () => 0 });
-    const offerMany = () => Array.from({ length: 1_000 }, () => offer(shares));
+  it('takes back the count of an undelivered offer once', () => {
+    const selector = selectorOf({ view: {}, random: () => 0 });
+    const offerMany = () => Array.from({ length: 1_000 }, () => offer(selector));
     expect(toTarget(offerMany())).toBe(75);
-    const share = shares.select('desk', 'read');
-    share.noteOffer('new-1');
-    share.noteUndelivered('new-1');
-    share.noteUndelivered('new-1');
+    const selection = selector.select('desk', 'read');
+    selection.noteOffer('new-1');
+    selection.noteUndelivered('new-1');
+    selection.noteUndelivered('new-1');
     expect(toTarget(offerMany())).toBe(50);
   });
 
-  it('sends nothing to the version once it is bad, stale or rolled back', () => {
+  it('sends nothing to the version when it is halted, stale or rolled back', () => {
     const states: Partial<RolloutView>[] = [
       { phase: RolloutPhase.Halt },
       { isStale: true },
       { order: { ...ORDER, state: RolloutState.RolledBack } },
     ];
     for (const view of states) {
-      const shares = sharesOf({ view });
-      expect(toTarget(Array.from({ length: 500 }, () => offer(shares)))).toBe(0);
+      const selector = selectorOf({ view });
+      expect(toTarget(Array.from({ length: 500 }, () => offer(selector)))).toBe(0);
     }
   });
 
-  it('sends nothing more after as many bad answers here as all nodes may see', () => {
-    const shares = sharesOf({ view: {} });
+  it('sends nothing more to the version after 50 bad answers at this node', () => {
+    const selector = selectorOf({ view: {} });
     let sent = 0;
     for (let each = 0; each < 5_000; each += 1) {
-      const share = shares.select('desk', 'read');
-      const node = share.preferred && ['new-1', 'new-2'].find(share.preferred);
+      const selection = selector.select('desk', 'read');
+      const node = selection.preferred && ['new-1', 'new-2'].find(selection.preferred);
       if (node) {
         sent += 1;
-        share.noteOffer(node);
-        share.noteFailure(node);
+        selection.noteOffer(node);
+        selection.noteFailure(node);
       }
     }
     expect(sent).toBe(50);
   });
 
-  it('sends everything to the version in the last step and after it', () => {
+  it('sends everything to the version in the shift and after it', () => {
     for (const view of [
       { phase: RolloutPhase.Shift },
       { phase: RolloutPhase.Done },
       { order: { ...ORDER, state: RolloutState.Completed } },
     ]) {
-      const shares = sharesOf({ view });
-      expect(toTarget(Array.from({ length: 100 }, () => offer(shares)))).toBe(100);
+      const selector = selectorOf({ view });
+      expect(toTarget(Array.from({ length: 100 }, () => offer(selector)))).toBe(100);
     }
   });
 
-  it('takes owners that have not told their version for the new one, if others have', () => {
+  it('limits owners of unknown version while most versions are known', () => {
     const owners = [...OWNERS.slice(0, 2), { node: 'new-3', version: undefined }];
-    const shares = sharesOf({ view: {}, owners });
-    const offered = Array.from({ length: 1_000 }, () => offer(shares, owners));
+    const selector = selectorOf({ view: {}, owners });
+    const offered = Array.from({ length: 1_000 }, () => offer(selector, owners));
     expect(toTarget(offered)).toBeLessThanOrEqual(1_000 * 0.05 + 25);
   });
 
-  it('knows nothing of versions while most owners have not told theirs', () => {
+  it('limits nothing while the versions of most owners are unknown', () => {
     const owners = ['a', 'b', 'c'].map((node) => ({ node, version: undefined }));
-    const shares = sharesOf({ view: {}, owners: [...owners, { node: 'd', version: 'v1' }] });
-    expect(shares.select('desk', 'read').fallback).toBeUndefined();
+    const selector = selectorOf({ view: {}, owners: [...owners, { node: 'd', version: 'v1' }] });
+    expect(selector.select('desk', 'read').fallback).toBeUndefined();
   });
 
-  it('keeps a version that nobody ordered small only as long as an order may be on its way', () => {
+  it('limits a version without an order only until an order would have arrived', () => {
     let now = 0;
     let owners = OWNERS.slice(0, 2);
-    const shares = createVersionSelector({
+    const selector = createVersionSelector({
       clock: { now: () => now },
       bounds: () => BOUNDS,
       applyMs: () => 2_500,
@@ -191,55 +194,55 @@
       isSynced: () => true,
       withdrawn: () => new Set(),
     });
-    expect(shares.select('desk', 'read').fallback).toBeUndefined();
+    expect(selector.select('desk', 'read').fallback).toBeUndefined();
     now = 10_000;
     owners = [...OWNERS];
-    expect(shares.select('desk', 'read').fallback?.('new-1')).toBe(false);
+    expect(selector.select('desk', 'read').fallback?.('new-1')).toBe(false);
     now = 12_600;
-    expect(shares.select('desk', 'read').fallback).toBeUndefined();
+    expect(selector.select('desk', 'read').fallback).toBeUndefined();
   });
 
-  it('asks the owners of the plan first in the last step, and the others only until they are fenced', () => {
+  it('prefers the owners in the plan in the shift, and others only until they are fenced', () => {
     const plan = (isFenced: boolean) => ({
       shares: new Map([['', 1]]),
       owners: new Set(['new-1']),
       isFenced,
     });
     const view = (isFenced: boolean) => ({ phase: RolloutPhase.Shift, plan: plan(isFenced) });
-    const open = sharesOf({ view: view(false) }).select('desk', 'read');
+    const open = selectorOf({ view: view(false) }).select('desk', 'read');
     expect(open.preferred?.('new-1')).toBe(true);
     expect(open.preferred?.('new-2')).toBe(false);
     expect(open.fallback?.('old-1')).toBe(true);
-    const fenced = sharesOf({ view: view(true) }).select('desk', 'read');
+    const fenced = selectorOf({ view: view(true) }).select('desk', 'read');
     expect(fenced.preferred).toBeUndefined();
     expect(fenced.fallback?.('new-1')).toBe(true);
     expect(fenced.fallback?.('new-2')).toBe(false);
     expect(fenced.fallback?.('old-1')).toBe(false);
   });
 
-  it('sends nothing to a version whose order was taken back while others stand', () => {
-    const shares = sharesOf({ withdrawn: ['v2'] });
-    expect(toTarget(Array.from({ length: 500 }, () => offer(shares)))).toBe(0);
-    const alone = sharesOf({ withdrawn: ['v2'], owners: OWNERS.slice(2) });
+  it('sends nothing to a version whose order was withdrawn while other versions are up', () => {
+    const selector = selectorOf({ withdrawn: ['v2'] });
+    expect(toTarget(Array.from({ length: 500 }, () => offer(selector)))).toBe(0);
+    const alone = selectorOf({ withdrawn: ['v2'], owners: OWNERS.slice(2) });
     expect(alone.select('desk', 'read').fallback).toBeUndefined();
   });
 
-  it('sends nothing to owners that have not told a version, while one is taken back', () => {
+  it('sends nothing to owners of unknown version while a version is withdrawn', () => {
     const fresh = { node: 'new-3', version: undefined };
-    const shares = sharesOf({ withdrawn: ['v2'], owners: [...OWNERS, fresh] });
-    expect(shares.select('desk', 'read').fallback?.('new-3')).toBe(false);
+    const selector = selectorOf({ withdrawn: ['v2'], owners: [...OWNERS, fresh] });
+    expect(selector.select('desk', 'read').fallback?.('new-3')).toBe(false);
   });
 
-  it('sends nothing to owners that have come since it last looked, while a version is held back', () => {
+  it('sends nothing to owners newer than its last read while a version is limited', () => {
     for (const setup of [{ view: {} }, { withdrawn: ['v2'] }]) {
-      const share = sharesOf(setup).select('desk', 'read');
-      expect(share.fallback?.('old-1')).toBe(true);
-      expect(share.fallback?.('new-3')).toBe(false);
+      const selection = selectorOf(setup).select('desk', 'read');
+      expect(selection.fallback?.('old-1')).toBe(true);
+      expect(selection.fallback?.('new-3')).toBe(false);
     }
   });
 
-  it('is open everywhere without bounds', () => {
-    const shares = createVersionSelector({
+  it('restricts nothing without bounds', () => {
+    const selector = createVersionSelector({
       clock: { now: () => 0 },
       bounds: () => undefined,
       applyMs: () => 0,
@@ -249,6 +252,6 @@
       isSynced: () => false,
       withdrawn: () => new Set(),
     });
-    expect(shares.select('desk', 'read').fallback).toBeUndefined();
+    expect(selector.select('desk', 'read').fallback).toBeUndefined();
   });
 });
