--- a/src/quarantine/crashAnnouncementCodec.test.ts
+++ b/src/quarantine/crashAnnouncementCodec.test.ts
@@ -4,24 +4,26 @@
 
 const keys = fc.array(fc.record({ fingerprint: fc.string(), caller: fc.string() }));
 
-const news = fc.record({
+const announcements = fc.record({
   incarnation: fc.option(fc.string(), { nil: undefined }),
   suspects: keys,
   quarantined: keys,
   cleared: keys,
 });
 
-describe('news of crashes', () => {
-  it('come out as they went in', () => {
+describe('crash announcements', () => {
+  it('are decoded as they were encoded', () => {
     fc.assert(
-      fc.property(news, (told) => {
-        expect(decodeCrashAnnouncement(encodeCrashAnnouncement(told))).toEqual(told);
+      fc.property(announcements, (announcement) => {
+        expect(decodeCrashAnnouncement(encodeCrashAnnouncement(announcement))).toEqual(
+          announcement,
+        );
       }),
       { seed: 13, numRuns: 200 },
     );
   });
 
-  it('are none when they are something else', () => {
+  it('decode to undefined from any other value', () => {
     for (const value of [undefined, 'i-1', [], ['i-1', [], []], ['i-1', [['f']], [], []]]) {
       expect(decodeCrashAnnouncement(value)).toBeUndefined();
     }
--- a/src/quarantine/crashAnnouncementCodec.ts
+++ b/src/quarantine/crashAnnouncementCodec.ts
@@ -1,25 +1,28 @@
-/** How news of crashes travels between nodes: the name of the life, then three lists of requests. */
+/**
+ * Encodes announcements of crashes between nodes as lists: the name of the incarnation, then three
+ * lists of requests.
+ */
 import type { CrashAnnouncement, RequestKey } from './crashTracker.js';
 
-/** Renders news as a list. */
-export function encodeCrashAnnouncement(news: CrashAnnouncement): unknown[] {
+/** Encodes an announcement as a list. */
+export function encodeCrashAnnouncement(announcement: CrashAnnouncement): unknown[] {
   return [
-    news.incarnation,
-    listOfKeys(news.suspects),
-    listOfKeys(news.quarantined),
-    listOfKeys(news.cleared),
+    announcement.incarnation,
+    encodeKeys(announcement.suspects),
+    encodeKeys(announcement.quarantined),
+    encodeKeys(announcement.cleared),
   ];
 }
 
-/** Reads a list; undefined when it is no news. */
+/** Decodes a list; undefined if it is not a valid announcement. */
 export function decodeCrashAnnouncement(value: unknown): CrashAnnouncement | undefined {
   if (!Array.isArray(value)) {
     return undefined;
   }
   const [incarnation, ...lists] = value as unknown[];
-  const [suspects, quarantined, cleared] = lists.map(readKeys);
-  const isNamed = typeof incarnation === 'string' || incarnation === undefined;
-  if (!isNamed || !suspects || !quarantined || !cleared) {
+  const [suspects, quarantined, cleared] = lists.map(decodeKeys);
+  const isNameValid = typeof incarnation === 'string' || incarnation === undefined;
+  if (!isNameValid || !suspects || !quarantined || !cleared) {
     return undefined;
   }
   return {
@@ -30,19 +33,19 @@
   };
 }
 
-function listOfKeys(keys: readonly RequestKey[]): unknown[] {
+function encodeKeys(keys: readonly RequestKey[]): unknown[] {
   return keys.map(({ fingerprint, caller }) => [fingerprint, caller]);
 }
 
-function readKeys(value: unknown): RequestKey[] | undefined {
+function decodeKeys(value: unknown): RequestKey[] | undefined {
   if (!Array.isArray(value)) {
     return undefined;
   }
-  const keys = value.flatMap((each) => readKey(each) ?? []);
+  const keys = value.flatMap((each) => decodeKey(each) ?? []);
   return keys.length === value.length ? keys : undefined;
 }
 
-function readKey(value: unknown): RequestKey | undefined {
+function decodeKey(value: unknown): RequestKey | undefined {
   const [fingerprint, caller] = Array.isArray(value) ? (value as unknown[]) : [];
   return typeof fingerprint === 'string' && typeof caller === 'string'
     ? { fingerprint, caller }
--- a/src/quarantine/crashEntries.ts
+++ b/src/quarantine/crashEntries.ts
@@ -1,41 +1,49 @@
-/** What is remembered of each request that was under way when a back end crashed, within a bound. */
+/**
+ * Keeps records of requests that were in flight when a back end crashed, up to a maximum number.
+ */
 
-/** Requests of which crashes are remembered: 1 MB at the most; one crash adds up to the slots of a back end. */
+/**
+ * Number of requests whose crashes are recorded, at most 1 MB. One crash adds as many as the back
+ * end has slots.
+ */
 const MAX_ENTRIES = 2_048;
 
-/** Lives of back ends that are told apart for one request: more make no difference. */
-const MAX_LIVES = 8;
+/** Incarnations recorded for one request; more make no difference. */
+const MAX_INCARNATIONS = 8;
 
-/** What is known of one request; its callers are told apart. */
+/** Record of one request, by caller. */
 export interface CrashEntry {
-  /** Names of the lives that ended under the request. */
+  /** Names of the incarnations that crashed while the request was in flight. */
   readonly incarnations: Set<string>;
-  /** Callers whose request was under a crash. */
+  /** Callers whose request was in flight at a crash. */
   readonly callers: Set<string>;
-  /** Callers whose request ran to its end since. */
+  /** Callers whose request has completed since. */
   readonly cleared: Set<string>;
-  /** Callers whose request is quarantined, with the steady time of that in milliseconds. */
+  /** Callers whose request is quarantined, with the monotonic time of that in milliseconds. */
   readonly quarantined: Map<string, number>;
-  /** Crashes that were told without naming the lives. */
+  /** Number of crashes that were reported without the names of the incarnations. */
   reportedCrashes: number;
-  /** Steady time in milliseconds of the last crash that was heard of. */
+  /** Monotonic time in milliseconds at which the last crash became known. */
   lastCrashAt: number;
 }
 
-/** Entries by the request's fingerprint. */
+/** Entries by the fingerprint of the request. */
 export interface CrashEntries {
   get(fingerprint: string): CrashEntry | undefined;
-  /** The entry, made if there is none, of a request that a crash was heard of at `now`. */
+  /** Returns the entry of a request, created if missing, and sets its last crash to `now`. */
   touch(fingerprint: string, now: number): CrashEntry;
   delete(fingerprint: string): void;
-  /** All of them, that of the oldest last crash first. */
+  /** All entries, by the time of the last crash, oldest first. */
   all(): readonly (readonly [fingerprint: string, entry: CrashEntry])[];
 }
 
 export function createCrashEntries(): CrashEntries {
   const entries = new Map<string, CrashEntry>();
 
-  /** Requests that somebody makes up to fill the memory push out one another before any quarantine. */
+  /**
+   * Removes the oldest entry without a quarantine, so that requests made up to fill the memory
+   * displace one another and no quarantine.
+   */
   const makeRoom = (): void => {
     if (entries.size <= MAX_ENTRIES) {
       return;
@@ -54,7 +62,7 @@
     touch: (fingerprint, now) => {
       const entry = entries.get(fingerprint) ?? newEntry();
       entry.lastCrashAt = now;
-      // Put in anew, so that the order stays that of the last crashes.
+      // Inserted again to keep the entries in the order of their last crashes.
       entries.delete(fingerprint);
       entries.set(fingerprint, entry);
       makeRoom();
@@ -67,15 +75,15 @@
   };
 }
 
-/** Crashes that are known of a request. */
+/** Number of known crashes of a request. */
 export function crashCountOf({ incarnations, reportedCrashes }: CrashEntry): number {
   return Math.max(incarnations.size, reportedCrashes);
 }
 
-/** A life of a back end has ended under the request. */
-export function addIncarnation({ incarnations }: CrashEntry, life: string): void {
-  if (incarnations.size < MAX_LIVES) {
-    incarnations.add(life);
+/** Records that an incarnation crashed while the request was in flight. */
+export function addIncarnation({ incarnations }: CrashEntry, incarnation: string): void {
+  if (incarnations.size < MAX_INCARNATIONS) {
+    incarnations.add(incarnation);
   }
 }
 
--- a/src/quarantine/crashTracker.ts
+++ b/src/quarantine/crashTracker.ts
@@ -1,13 +1,14 @@
 /**
- * What is known of requests that crash back ends, and what follows from it. State and rules without
- * sockets or timers: each call takes the present time, and returns the news that other nodes need.
+ * Tracks requests that crash back ends and decides how they are treated. It has no sockets or
+ * timers: each call gets the present time, and returns the announcement that other nodes need.
  *
- * A request that was under way when its back end crashed may be to blame, as may all that ran beside it.
- * Under a second crash it is a suspect: from then on it runs alone on its back end, at one owner of the
- * mesh. If a back end crashes while it alone is under way, and it had been under a crash before it began,
- * it is quarantined: back ends that end together for a reason of their own, a whole domain of them, do not
- * convict what runs on all of them. If it runs to its end, it is cleared. So nobody is refused for having
- * been beside a crash.
+ * A request that was in flight when its back end crashed may be the cause, as may any other request
+ * in flight there. After a second such crash it is a suspect and runs alone on its back end, at one
+ * owner of the mesh. If a back end crashes while only this request is in flight, and a crash of the
+ * request was known before it began, it is quarantined. The earlier crash is required because back
+ * ends may end together for another reason, such as the loss of a whole domain, which says nothing
+ * about the requests that ran on all of them. If a request completes, it is cleared. A request is
+ * therefore never refused only because it was in flight beside the one that caused a crash.
  */
 
 import { createCompletedRuns } from './completedRuns.js';
@@ -16,66 +17,79 @@
 
 export type { RequestKey } from './requestKey.js';
 
-/** A request that was under way when its back end crashed. */
+/** A request that was in flight when its back end crashed. */
 export interface InFlightRequest extends RequestKey {
-  /** True if it was known of a crash under it when it began to run. */
+  /** True if a crash of the request was known when it began to run. */
   readonly hadPriorCrash: boolean;
 }
 
 /** How a request is treated. */
 export enum QuarantineStatus {
   Clear = 'clear',
-  /** Runs alone on its back end, at one owner of the mesh. */
+  /** The request runs alone on its back end, at one owner of the mesh. */
   Suspect = 'suspect',
-  /** Is refused. */
+  /** The request is refused. */
   Quarantined = 'quarantined',
 }
 
-/** What one node has found out and others are to know. */
+/** Announcement of one node's findings to the others. */
 export interface CrashAnnouncement {
-  /** Name of the back end's life that ended in a crash, if one did. */
+  /** Name of the incarnation that crashed; undefined if the announcement is not about a crash. */
   readonly incarnation: string | undefined;
   readonly suspects: readonly RequestKey[];
   readonly quarantined: readonly RequestKey[];
-  /** Suspects that have run to their end. */
+  /** Suspects that have completed. */
   readonly cleared: readonly RequestKey[];
 }
 
 /**
- * Crashes after which a request runs alone. At one, each crash would have up to all slots of a back end
- * run alone, one after the other, and the users' rules grant three crashes.
+ * Crashes after which a request runs alone. With 1, each crash would make up to as many requests as
+ * a back end has slots run alone, one after the other, and the users' rules allow three crashes.
  */
 export const SUSPECT_CRASHES = 2;
 
-/** Without another crash, suspicion ends after this time, in milliseconds: clients come again minutes later. */
+/**
+ * Milliseconds without another crash after which suspicion ends. Clients may repeat a request
+ * minutes later.
+ */
 const SUSPICION_MS = 600_000;
 
 /**
- * A quarantined request runs alone once more after this time, in milliseconds: its back end may have
- * been mended. If not, that costs one back end for some seconds of every ten minutes.
+ * Milliseconds after which a quarantined request runs alone once more, as its back end may have
+ * been fixed. If it has not, that costs one back end for some seconds in every ten minutes.
  */
 export const QUARANTINE_MS = 600_000;
 
-/** One per node. `now` is a steady time in milliseconds. */
+/** The crash tracker of a node. `now` is monotonic, in milliseconds. */
 export interface CrashTracker {
   statusOf(key: RequestKey, now: number): QuarantineStatus;
   /** Milliseconds until a quarantined request may run again. */
   quarantineLeftMs(key: RequestKey, now: number): number;
-  /** A back end here has run the request to its end. Returns news if it was a suspect. */
+  /**
+   * Records that a back end here completed the request. Returns an announcement if it was a
+   * suspect.
+   */
   noteCompleted(key: RequestKey, now: number): CrashAnnouncement | undefined;
-  /** A back end's life here has ended in a crash while these requests, and no others, were under way. */
-  noteCrash(life: string, underWay: readonly InFlightRequest[], now: number): CrashAnnouncement;
-  /** Takes another node's news; returns what is quarantined since. */
-  applyAnnouncement(news: CrashAnnouncement, now: number): readonly RequestKey[];
-  /** The store holds a suspicion of so many crashes. */
+  /** Records the crash of an incarnation here with all the requests that were in flight. */
+  noteCrash(
+    incarnation: string,
+    inFlight: readonly InFlightRequest[],
+    now: number,
+  ): CrashAnnouncement;
+  /** Applies another node's announcement; returns the requests that it newly quarantines here. */
+  applyAnnouncement(announcement: CrashAnnouncement, now: number): readonly RequestKey[];
+  /** Applies a suspicion after `crashes` crashes that the store holds. */
   applySuspicion(key: RequestKey, crashes: number, now: number): void;
-  /** The store holds a quarantine; true if it was not known here. */
+  /** Applies a quarantine that the store holds; returns true if it is new here. */
   applyQuarantine(key: RequestKey, now: number): boolean;
-  /** The store does not hold it any more: the request runs alone once. */
+  /** Lifts a quarantine that the store no longer holds: the request runs alone once. */
   lift(key: RequestKey): void;
-  /** Crashes that are known of a request; from SUSPECT_CRASHES on it is a suspect unless it was cleared. */
+  /**
+   * Number of known crashes of a request. With SUSPECT_CRASHES or more the request is a suspect
+   * unless it was cleared.
+   */
   crashesOf(fingerprint: string): number;
-  /** Requests that are refused now. */
+  /** Requests that are refused at present. */
   quarantined(now: number): readonly RequestKey[];
 }
 
@@ -83,9 +97,9 @@
   const entries = createCrashEntries();
   const completed = createCompletedRuns();
 
-  const blame = (life: string, { fingerprint, caller }: RequestKey, now: number): void => {
+  const blame = (incarnation: string, { fingerprint, caller }: RequestKey, now: number): void => {
     const entry = entries.touch(fingerprint, now);
-    addIncarnation(entry, life);
+    addIncarnation(entry, incarnation);
     entry.callers.add(caller);
     entry.cleared.delete(caller);
   };
@@ -110,7 +124,7 @@
     }
     entry.quarantined.delete(caller);
     entry.cleared.add(caller);
-    // Another caller's request may still be to blame: a back end can tell them apart.
+    // Another caller's request may still be the cause: a back end may treat callers differently.
     if ([...entry.callers].every((each) => entry.cleared.has(each))) {
       entries.delete(fingerprint);
     }
@@ -128,8 +142,8 @@
     if (entry.cleared.has(caller) || now - entry.lastCrashAt > SUSPICION_MS + QUARANTINE_MS) {
       return QuarantineStatus.Clear;
     }
-    const isForgotten = entry.quarantined.size === 0 && now - entry.lastCrashAt > SUSPICION_MS;
-    return crashCountOf(entry) >= SUSPECT_CRASHES && !isForgotten
+    const isExpired = entry.quarantined.size === 0 && now - entry.lastCrashAt > SUSPICION_MS;
+    return crashCountOf(entry) >= SUSPECT_CRASHES && !isExpired
       ? QuarantineStatus.Suspect
       : QuarantineStatus.Clear;
   };
@@ -144,21 +158,21 @@
       completed.note(key, now);
       const isSuspect = statusOf(key, now) === QuarantineStatus.Suspect;
       clear(key);
-      return isSuspect ? { ...NO_NEWS, cleared: [key] } : undefined;
+      return isSuspect ? { ...EMPTY_ANNOUNCEMENT, cleared: [key] } : undefined;
     },
-    noteCrash: (incarnation, underWay, now) => {
-      // The same request may run on a back end more than once at a time.
-      const isAlone = new Set(underWay.map(keyText)).size === 1;
-      const suspects = distinctKeys(underWay).filter((key) => isAlone || !completed.has(key, now));
+    noteCrash: (incarnation, inFlight, now) => {
+      // The same request may run more than once at a time on a back end.
+      const isAlone = new Set(inFlight.map(keyText)).size === 1;
+      const suspects = distinctKeys(inFlight).filter((key) => isAlone || !completed.has(key, now));
       for (const key of suspects) {
         blame(incarnation, key, now);
       }
-      const hadCrashed = underWay.some((request) => request.hadPriorCrash);
-      const quarantined = isAlone && hadCrashed ? suspects : [];
+      const hadPriorCrash = inFlight.some((request) => request.hadPriorCrash);
+      const quarantined = isAlone && hadPriorCrash ? suspects : [];
       for (const key of quarantined) {
         quarantine(key, now);
       }
-      return { ...NO_NEWS, incarnation, suspects, quarantined };
+      return { ...EMPTY_ANNOUNCEMENT, incarnation, suspects, quarantined };
     },
     applyAnnouncement: ({ incarnation, suspects, quarantined, cleared }, now) => {
       for (const key of suspects) {
@@ -195,7 +209,7 @@
   };
 }
 
-const NO_NEWS: CrashAnnouncement = {
+const EMPTY_ANNOUNCEMENT: CrashAnnouncement = {
   incarnation: undefined,
   suspects: [],
   quarantined: [],
--- a/src/quarantine/fingerprint.test.ts
+++ b/src/quarantine/fingerprint.test.ts
@@ -3,12 +3,12 @@
 
 const REQUEST = { method: 'POST', host: 'mesh.example', target: '/buy/1?a=b', body: [] };
 
-describe('the fingerprint of a request', () => {
-  it('is that of its method, host, target and body, however the body comes', () => {
+describe('fingerprintOf', () => {
+  it('depends on method, host, target and body, but not on the chunks of the body', () => {
     const whole = fingerprintOf({ ...REQUEST, body: [Buffer.from('a body')] });
-    const pieces = ['a', ' ', 'body'].map((text) => Buffer.from(text));
-    expect(fingerprintOf({ ...REQUEST, body: pieces })).toBe(whole);
-    expect(fingerprintOf({ ...REQUEST, host: 'MESH.example', body: pieces })).toBe(whole);
+    const chunks = ['a', ' ', 'body'].map((text) => Buffer.from(text));
+    expect(fingerprintOf({ ...REQUEST, body: chunks })).toBe(whole);
+    expect(fingerprintOf({ ...REQUEST, host: 'MESH.example', body: chunks })).toBe(whole);
     const others = [
       REQUEST,
       { ...REQUEST, method: 'PUT' },
@@ -19,7 +19,7 @@
     expect(new Set([whole, ...others]).size).toBe(6);
   });
 
-  it('is the same for no body and an empty one, also before one that comes', () => {
+  it('is the same for no body and an empty one, and ignores empty chunks', () => {
     const none = fingerprintOf(REQUEST);
     expect(none).toMatch(/^[0-9a-f]{32}$/);
     expect(fingerprintOf({ ...REQUEST, body: [Buffer.alloc(0)] })).toBe(none);
@@ -30,10 +30,10 @@
     );
   });
 
-  it('takes of a long body its beginning alone, cut at the same byte', () => {
+  it('counts only the first 1 MiB of a long body, however it is split into chunks', () => {
     const body = Buffer.alloc(1_500_000, 'x');
-    const inPieces = [body.subarray(0, 700_001), body.subarray(700_001, 1_100_000)];
-    expect(fingerprintOf({ ...REQUEST, body: inPieces })).toBe(
+    const inChunks = [body.subarray(0, 700_001), body.subarray(700_001, 1_100_000)];
+    expect(fingerprintOf({ ...REQUEST, body: inChunks })).toBe(
       fingerprintOf({ ...REQUEST, body: [body] }),
     );
   });
--- a/src/quarantine/requestKey.ts
+++ b/src/quarantine/requestKey.ts
@@ -1,20 +1,19 @@
-/** Requests as the memory of crashes tells them apart. */
+/** Identity of a request in the tracking of crashes: its fingerprint and its caller. */
 import { NO_FINGERPRINT } from './fingerprint.js';
 
-/** A request, and who it came from. */
 export interface RequestKey {
-  /** See `fingerprintOf`. */
+  /** Result of `fingerprintOf`. */
   readonly fingerprint: string;
-  /** Service that runs on the machine where it began, and the tenant that sent it, if any. */
+  /** Service on the machine where the request began, and the tenant that sent it, if any. */
   readonly caller: string;
 }
 
-/** One text for each key. */
+/** The key as a string, distinct for each key. */
 export function keyText({ fingerprint, caller }: RequestKey): string {
   return `${fingerprint} ${caller}`;
 }
 
-/** Each key once, without those of requests that have no fingerprint. */
+/** The distinct keys, without those of requests that have no fingerprint. */
 export function distinctKeys(keys: readonly RequestKey[]): RequestKey[] {
   const known = keys
     .filter(({ fingerprint }) => fingerprint !== NO_FINGERPRINT)
