--- a/src/source/collection-watcher.ts
+++ b/src/source/collection-watcher.ts
@@ -1,7 +1,8 @@
 /**
- * List, then watch: follows one kind of object. Lost history (410) leads to a
- * new list; failures lead to jittered back-off, so that a herd of nodes does not
- * storm the store.
+ * Follows one kind of stored object: lists it once, then watches it. If the
+ * store no longer has the history after a revision (410), the watcher lists
+ * again. Failed calls are retried with a jittered backoff, so that many nodes
+ * that reconnect at the same time do not overload the store.
  */
 import { monotonicClock } from '../model/clock.js';
 import {
@@ -11,70 +12,76 @@
   type StoreError,
 } from './object-store.js';
 
-/** Receives what a watcher learns, in order. */
+/** Receives the results of a watcher's calls, in order. */
 export interface CollectionHandler<Spec> {
-  /** Everything that there is at this revision of the store. */
+  /** All objects of the kind at this revision of the store. */
   onList(objects: readonly StoredObject<Spec>[], revision: number): void;
-  /** One change among those up to this revision of the store. */
+  /** One of the changes that led to this revision of the store. */
   onChange(object: StoredObject<Spec>, gone: boolean, revision: number): void;
   /**
-   * Called when the store begins or ceases to answer. `detail` is the call that was answered, or the
-   * failure; `cause` says in words what was seen of that.
+   * Called with the first result, and when the store starts or stops answering. `detail` is the
+   * operation that was answered, or the failure; `cause` is a free-text description of the failure.
    */
   onConnected(connected: boolean, detail: string, cause?: string): void;
-  /** What was given so far is all that there is now. */
+  /** The objects and changes passed on so far match the store's current state. */
   onUpToDate?(): void;
 }
 
-/** What is followed, and its time limits in milliseconds. */
+/** Settings of a watcher; all times are in milliseconds. */
 export interface WatchTiming {
   /**
-   * Name of the only object of the kind, if it has just one. A watch gives every step between two
-   * versions, each whole; who has fallen behind reads the newest version alone instead.
+   * Name of the only object of the kind, if there is just one. A watch returns every version
+   * between two revisions, each in full, so a watcher that has fallen behind reads only the newest
+   * version.
    */
   readonly singletonName?: string;
-  /** Longest wait of one watch. */
+  /** Longest time for which the store holds one watch open. */
   readonly waitMs: number;
-  /** Pause after a watch that brought changes, so that quick changes come together. */
+  /** Pause after a watch that returned changes, so that the next one returns several at once. */
   readonly debounceMs: () => number;
 }
 
 const FIRST_BACKOFF_MS = 150;
-/** With its jitter of a half, a store that is back is found within 1.5 s. */
+/** With a jitter of up to half, the watcher retries a store that is back within 1.5 s. */
 const LONGEST_BACKOFF_MS = 1_000;
 const BACKOFF_FACTOR = 2;
 
-/** A list that is older than what has been seen. */
-function lagging(revision: number, newest: number): StoreError {
-  const detail = `the list lags: it is of revision ${revision}, after ${newest}`;
+/** The error for a list that is older than an earlier response. */
+function outdatedListError(revision: number, newest: number): StoreError {
+  const detail = `the list is outdated: its revision is ${revision}, an earlier one was ${newest}`;
   return { ok: false, failure: 'unavailable', detail };
 }
 
-/** Follows one kind until stopped. */
+/** Follows one kind of object until stopped. */
 export class CollectionWatcher<Spec> {
+  /** The revision to watch from; undefined if the watcher has to list first. */
   private revision: number | undefined;
-  /** Newest revision of any answer: an answer from before it lags behind. */
-  private newest = 0;
+  /** Newest revision of any response; a list with a lower one is outdated. */
+  private newestRevision = 0;
   private stopped = false;
-  /** Undefined before the first answer, or the first failure: either is told. */
+  /** Undefined before the first result, so that the first one is always passed to the handler. */
   private connected: boolean | undefined;
   private backoffMs = FIRST_BACKOFF_MS;
-  /** Revision of the newest version of the only object. */
+  /** Revision of the newest version received of the only object. */
   private singletonRevision = 0;
-  /** True from a watch that brought several versions of it until a read that finds no newer one. */
+  /**
+   * True from a watch that returned several versions of the only object until a read that finds no
+   * newer version.
+   */
   private isBehind = false;
   /**
-   * True from a list of now until a watch is answered: a history that is gone already then would be
-   * gone again, and lists and watches would follow one another without a pause.
+   * True from a strongly consistent list until a watch succeeds. If the history is gone right after
+   * such a list, listing again would not help, and lists and watches would alternate without a
+   * pause.
    */
   private isListFresh = false;
   /**
-   * True while all that is known comes from a list that may lag: that may be of before the store came back from
-   * a copy, and then of a revision that it doesn't have any more.
+   * True while the only response so far is a list that may be stale. That list may date from before
+   * the store was restored from a copy, and its revision may no longer exist in the store.
    */
   private isListUnconfirmed = false;
-  private wake: () => void = () => {};
-  private refreshWanted = false;
+  private endPause: () => void = () => {};
+  private isRefreshing = false;
 
   constructor(
     private readonly store: ObjectStore,
@@ -84,7 +91,7 @@
     private readonly random: () => number = Math.random,
   ) {}
 
-  /** True while the last call to the store was answered. */
+  /** True if the last call to the store was answered. */
   get isConnected(): boolean {
     return this.connected === true;
   }
@@ -97,7 +104,7 @@
       if (failure?.failure === 'history-gone' && !this.isListFresh) {
         this.revision = undefined;
       } else if (failure) {
-        this.note(false, failure.failure, failure.detail);
+        this.setConnected(false, failure.failure, failure.detail);
         this.revision = failure.failure === 'history-gone' ? undefined : this.revision;
         await this.pause(this.nextBackoff(monotonicClock.now() - sentAt));
       }
@@ -106,17 +113,20 @@
 
   stop(): void {
     this.stopped = true;
-    this.wake();
+    this.endPause();
   }
 
-  /** Lists anew at once, beside a watch that waits: something newer is known to exist. */
+  /**
+   * Lists at once, while a watch may be waiting, because another node has announced something
+   * newer. Returns false if the list failed.
+   */
   async refresh(): Promise<boolean> {
-    if (this.refreshWanted || this.stopped) {
+    if (this.isRefreshing || this.stopped) {
       return true;
     }
-    this.refreshWanted = true;
+    this.isRefreshing = true;
     const failure = await this.list();
-    this.refreshWanted = false;
+    this.isRefreshing = false;
     return failure === undefined;
   }
 
@@ -131,8 +141,9 @@
   }
 
   private async list(): Promise<StoreError | undefined> {
-    // The first list may lag: the watch from its revision brings what came since.
-    const reading = this.newest === 0 ? ReadConsistency.BoundedStaleness : ReadConsistency.Strong;
+    // The first list may be stale: the watch from its revision returns the changes since then.
+    const reading =
+      this.newestRevision === 0 ? ReadConsistency.BoundedStaleness : ReadConsistency.Strong;
     const result = await this.store.list<Spec>(this.kind, reading);
     if (this.stopped) {
       return undefined;
@@ -140,15 +151,15 @@
     if (!result.ok) {
       return result;
     }
-    if (result.value.revision < this.newest) {
+    if (result.value.revision < this.newestRevision) {
       if (!this.isListUnconfirmed) {
-        return lagging(result.value.revision, this.newest);
+        return outdatedListError(result.value.revision, this.newestRevision);
       }
       this.singletonRevision = 0;
     }
-    this.note(true, 'list');
+    this.setConnected(true, 'list');
     this.revision = result.value.revision;
-    this.newest = result.value.revision;
+    this.newestRevision = result.value.revision;
     this.isListFresh = reading === ReadConsistency.Strong;
     this.isListUnconfirmed = reading === ReadConsistency.BoundedStaleness;
     for (const { revision } of result.value.items) {
@@ -158,7 +169,10 @@
     return undefined;
   }
 
-  /** One read in place of all the steps since: in a storm each of them would come whole. */
+  /**
+   * Reads the newest version of the only object instead of watching. During a burst of changes, a
+   * watch would return every version in full.
+   */
   private async readSingleton(name: string): Promise<StoreError | undefined> {
     const result = await this.store.get<Spec>(this.kind, name);
     if (this.stopped) {
@@ -167,14 +181,14 @@
     if (!result.ok && result.failure !== 'not-found') {
       return result;
     }
-    this.note(true, 'get');
+    this.setConnected(true, 'get');
     if (!result.ok || result.value.revision <= this.singletonRevision) {
       this.isBehind = false;
       return undefined;
     }
     this.singletonRevision = result.value.revision;
-    this.newest = Math.max(this.newest, this.singletonRevision);
-    this.revision = this.newest;
+    this.newestRevision = Math.max(this.newestRevision, this.singletonRevision);
+    this.revision = this.newestRevision;
     this.handler.onChange(result.value, false, result.value.revision);
     await this.pause(this.timing.debounceMs());
     return undefined;
@@ -189,17 +203,17 @@
     if (!result.ok) {
       return result;
     }
-    this.note(true, 'watch');
+    this.setConnected(true, 'watch');
     this.isListFresh = false;
     this.isListUnconfirmed = false;
-    this.newest = Math.max(this.newest, result.value.revision);
-    this.revision = this.newest;
+    this.newestRevision = Math.max(this.newestRevision, result.value.revision);
+    this.revision = this.newestRevision;
     const { events, revision } = result.value;
     const { singletonName } = this.timing;
     const last = events.findLastIndex(({ object }) => object.name === singletonName);
     this.isBehind = last > 0;
     events.forEach(({ object, gone }, index) => {
-      // Steps that are out of date already are not worth being taken one by one.
+      // Skips versions of the only object that a later event replaces.
       if (object.name !== singletonName || index === last) {
         this.singletonRevision = Math.max(this.singletonRevision, object.revision);
         this.handler.onChange(object, gone, revision);
@@ -211,7 +225,7 @@
     return undefined;
   }
 
-  private note(connected: boolean, detail: string, cause?: string): void {
+  private setConnected(connected: boolean, detail: string, cause?: string): void {
     if (connected) {
       this.backoffMs = FIRST_BACKOFF_MS;
       this.handler.onUpToDate?.();
@@ -222,7 +236,7 @@
     }
   }
 
-  /** The time that the failed call took counts: what was met with silence has waited already. */
+  /** Counts the duration of the failed call as part of the backoff: a timed-out call has waited. */
   private nextBackoff(tookMs: number): number {
     const current = Math.max(this.backoffMs - tookMs, FIRST_BACKOFF_MS);
     this.backoffMs = Math.min(this.backoffMs * BACKOFF_FACTOR, LONGEST_BACKOFF_MS);
@@ -232,7 +246,7 @@
   private pause(delayMs: number): Promise<void> {
     return new Promise((resolve) => {
       const timer = setTimeout(resolve, delayMs);
-      this.wake = () => {
+      this.endPause = () => {
         clearTimeout(timer);
         resolve();
       };
--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the configuration in force up to date: from the store, and from another
- * node when the store does not answer this one.
+ * Keeps the configuration in force up to date: from the store or, if the store
+ * does not answer this node, from another node.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
@@ -16,35 +16,42 @@
 import type { DependencyLoader } from './dependencyLoader.js';
 import type { ObjectStore, StoredObject } from './object-store.js';
 
-/** Longest wait of a watch, in milliseconds: a store that is out of reach is noticed otherwise. */
+/**
+ * Longest time for which the store holds one watch open, in milliseconds. It can be long because a
+ * store that is out of reach is detected by other means.
+ */
 const WAIT_MS = 12_000;
 
 /**
- * Part of the bound for which a node that hears of a newer version waits for its
- * own watch: longer than the watch settles, so that a watch that works is not
- * doubled by a list.
+ * Share of the apply deadline for which a node waits for its own watch after
+ * another node has announced a newer version. It is longer than a working watch
+ * takes to return the version, so that no list is sent in addition.
  */
 const WATCH_GRACE_SHARE = 0.5;
 
 /**
- * Part of the bound for which the store is then waited for, before the other node is asked: together
- * 0.7 of it, so that a store that is silent to this node does not cost it the version.
+ * Share of the apply deadline for which the node then waits for a list from the store before it
+ * asks the other node. Both waits together are 0.7 of the deadline, so that a node that the store
+ * does not answer still receives the version in time.
  */
 const REFRESH_SHARE = 0.2;
 
-/** Pause before what a version lacks is looked for again, in milliseconds. */
-const SHORT_RETRY_MS = 500;
+/** Pause before the missing dependencies of a version are loaded again, in milliseconds. */
+const DEPENDENCY_RETRY_MS = 500;
 
-/** Findings that one log line names. */
+/** Most findings in one log line. */
 const MAX_FINDINGS = 5;
 
 /**
- * Part of the bound after which a node that has heard nothing may be behind: a follower's reader
- * answers after 0.3 of it at the latest, and speaks for a store that it reached 0.5 ago.
+ * Share of the apply deadline after which the version in force may be stale if nothing has
+ * confirmed it. The reader of a follower answers within 0.3 of the deadline, and its last contact
+ * with the store was at most 0.5 of the deadline earlier.
  */
 const CURRENT_SHARE = 0.8;
 
-/** Part of the bound for which the word of a follower's reader may be older than its answer. */
+/**
+ * Share of the apply deadline by which the state in a reader's answer may be older than the answer.
+ */
 const READER_SHARE = 0.5;
 
 /** The version that another node holds. */
@@ -53,31 +60,36 @@
   readonly version: number;
 }
 
-/** What the follower needs of its node. */
+/** Dependencies and settings of a {@link ConfigurationFollower}. */
 export interface ConfigurationFollowerOptions {
   readonly clock: Clock;
   readonly store: ObjectStore;
   /** Kind and name of the configuration object. */
   readonly kind: string;
   readonly name: string;
-  /** Longest time, in milliseconds, from a version's acknowledgement until it is in force. */
+  /** Longest time from the acknowledgement of a version until it is in force, in milliseconds. */
   readonly applyDeadlineMs: number;
-  /** Milliseconds within which changes that come together are taken together. */
+  /** Pause after a change, in milliseconds, so that quick changes are received together. */
   readonly debounceMs: () => number;
-  /** Translates a stored configuration; undefined when it cannot be read. */
+  /** Decodes a stored configuration. Undefined if it cannot be read. */
   readonly decode: (spec: unknown) => ConfigurationCandidate | undefined;
+  /** Decodes a configuration from another node. Undefined if it cannot be read. */
   readonly decodeBytes: (bytes: Buffer) => ConfigurationCandidate | undefined;
-  /** Asks another node for its configuration. */
+  /** Requests the configuration of another node. Undefined if the node does not return one. */
   readonly fetchFromPeer: (address: string) => Promise<Buffer | undefined>;
-  /** Asks some other nodes which versions they hold, for a moment; left out where there are none to ask. */
+  /**
+   * Requests the versions that some other nodes hold, and waits for their answers for a short time.
+   * Undefined if there are no other nodes.
+   */
   readonly fetchPeerVersions?: () => Promise<readonly PeerVersion[]>;
-  /** Steady time in milliseconds at which the store was last shown to be within reach. */
+  /** Steady time of the last proof that the store is within reach, in milliseconds. */
   readonly storeReachableAt: () => number;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
   readonly onApplied: (routes: RouteMatcher, origin: string) => void;
   readonly onRejected: (version: number, origin: string, findings: readonly Finding[]) => void;
-  /** A version waits for policies or secrets. */
+  /** A version cannot come into force until its policies or secrets are loaded. */
   readonly onDependenciesMissing: (version: number, shortage: Shortage) => void;
+  /** The stored configuration of this revision cannot be decoded. */
   readonly onUnreadable: (revision: number) => void;
   readonly dependencyLoader: DependencyLoader;
 }
@@ -86,14 +98,17 @@
 export class ConfigurationFollower {
   private readonly holder = new ConfigurationHolder();
   private readonly watcher: CollectionWatcher<unknown>;
+  /** The announced version that is being fetched; 0 if none. */
   private fetchingVersion = 0;
-  /** Newest version that any node has spoken of. */
-  private newestKnownVersion = 0;
-  /** Steady time in milliseconds at which the version held was the newest. */
+  /** Newest version that any node has announced. */
+  private newestAnnouncedVersion = 0;
+  /**
+   * Steady time at which the version in force was last confirmed as the newest, in milliseconds.
+   */
   private confirmedAt = Number.NEGATIVE_INFINITY;
   private isStopped = false;
 
-  /** Newest version that was found short. */
+  /** Newest version that lacked policies or secrets. */
   private newestIncompleteVersion = 0;
 
   constructor(private readonly options: ConfigurationFollowerOptions) {
@@ -124,7 +139,7 @@
     );
   }
 
-  /** The routes in force, or undefined before the first configuration. */
+  /** The routes in force. Undefined before the first configuration. */
   get routes(): RouteMatcher | undefined {
     return this.holder.routes;
   }
@@ -138,32 +153,36 @@
   }
 
   /**
-   * True when there may be a newer version that this node does not hold yet: another node has spoken
-   * of it, or nothing was heard for a while. Then the lack of a route proves nothing.
+   * True if a newer version may exist that is not yet in force here: another node has announced
+   * one, or the version in force has not been confirmed for a while. A route that is missing from
+   * the version in force may then exist in the newer one.
    */
   get mayBeStale(): boolean {
     return (
-      this.newestKnownVersion > this.version ||
+      this.newestAnnouncedVersion > this.version ||
       this.unconfirmedMs > this.options.applyDeadlineMs * CURRENT_SHARE
     );
   }
 
-  /** Milliseconds for which the version held may not have been the store's newest; infinite at first. */
+  /**
+   * Longest time for which the version in force may not have been the store's newest, in
+   * milliseconds. Infinite until the version has been confirmed once.
+   */
   get maxStalenessMs(): number {
     return this.unconfirmedMs + this.options.applyDeadlineMs * READER_SHARE;
   }
 
-  /** Milliseconds since it was last heard that the version held is the newest. */
+  /** Milliseconds since the version in force was last confirmed as the newest. */
   private get unconfirmedMs(): number {
     const { clock, storeReachableAt } = this.options;
-    // A store within reach says nothing of the version held while this node's watch of it does not stand.
-    const heardAt = this.isConnected
+    // A store within reach confirms the version only while this node's watch works.
+    const lastConfirmedAt = this.isConnected
       ? Math.max(this.confirmedAt, storeReachableAt())
       : this.confirmedAt;
-    return clock.now() - heardAt;
+    return clock.now() - lastConfirmedAt;
   }
 
-  /** The configuration in force as bytes for another node. */
+  /** The configuration in force, encoded for another node. */
   bytes(): Buffer | undefined {
     return this.holder.bytes();
   }
@@ -177,9 +196,12 @@
     this.watcher.stop();
   }
 
-  /** Another node holds this version: if it is newer, the store is asked first, that node soon after. */
+  /**
+   * Another node has announced that it holds this version. If the version is newer, the follower
+   * asks the store first, and that node soon afterwards.
+   */
   noteVersion(address: string, version: number): void {
-    this.newestKnownVersion = Math.max(this.newestKnownVersion, version);
+    this.newestAnnouncedVersion = Math.max(this.newestAnnouncedVersion, version);
     if (version > this.version && version > this.fetchingVersion) {
       this.fetchingVersion = version;
       void this.fetch(address, version).finally(() => {
@@ -223,8 +245,9 @@
   }
 
   /**
-   * A store that has come back from a copy may list an older version than was acknowledged. A node that holds
-   * none yet would take it, and so go back by its restart: it asks others first.
+   * A store that has been restored from a copy may list an older version than was acknowledged. A
+   * node that has restarted holds no version and would apply the older one, so it asks other nodes
+   * first.
    */
   private async applyListed(candidate: ConfigurationCandidate): Promise<void> {
     if (!this.routes && (await this.applyNewerFromPeer(candidate.version))) {
@@ -235,10 +258,13 @@
     }
   }
 
-  /** True if another node holds a newer version, and that is used. */
+  /**
+   * Returns true if another node holds a newer version and that version is in force, or will be
+   * once its policies and secrets are loaded.
+   */
   private async applyNewerFromPeer(version: number): Promise<boolean> {
-    const held = (await this.options.fetchPeerVersions?.()) ?? [];
-    const [newest] = held.toSorted((left, right) => right.version - left.version);
+    const peerVersions = (await this.options.fetchPeerVersions?.()) ?? [];
+    const [newest] = peerVersions.toSorted((left, right) => right.version - left.version);
     if (!newest || newest.version <= version) {
       return false;
     }
@@ -267,21 +293,24 @@
     }
   }
 
-  /** Fetches what a version lacks and offers it again, until it is in force or out of date. */
+  /**
+   * Loads the policies and secrets that a version lacks and applies it again, until it is in force,
+   * rejected or replaced by a newer one.
+   */
   private async loadAndApply(candidate: ConfigurationCandidate, origin: string): Promise<void> {
     const { dependencyLoader } = this.options;
-    let isFetched = false;
+    let hasLoaded = false;
     for (;;) {
       const result = this.holder.apply(candidate, dependencyLoader.dependencies);
       if (result.kind !== 'short') {
         this.reportResult(result, origin);
         return;
       }
-      if (isFetched) {
-        await delay(SHORT_RETRY_MS);
+      if (hasLoaded) {
+        await delay(DEPENDENCY_RETRY_MS);
       }
       await dependencyLoader.load(result.shortage);
-      isFetched = true;
+      hasLoaded = true;
       const isOutdated = candidate.version < this.newestIncompleteVersion;
       if (this.isStopped || isOutdated) {
         return;
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -1,7 +1,8 @@
 /**
- * Holds the configuration in force. A newer version replaces the held one whole;
- * an older one, whichever way it comes, never does; one that cannot be used
- * whole is held off whole and reported once.
+ * Holds the configuration in force. A newer version replaces the current one as
+ * a whole. An older version never does, whether it comes from the store or from
+ * another node. A version with any fault is rejected as a whole, and its
+ * findings are reported once.
  */
 import type { Finding } from '../model/finding.js';
 import {
@@ -12,61 +13,63 @@
 import { createConfigurationCheck, type MeshConfiguration } from '../routing/mesh-configuration.js';
 import { RouteMatcher } from '../routing/route-matcher.js';
 
-/** A configuration as it came, with the means to give it to another node. */
+/** A configuration as received from the store or another node. */
 export interface ConfigurationCandidate {
   readonly version: number;
-  /** In the product's model, unchecked. */
+  /** The configuration in the product's model, not yet checked. */
   readonly candidate: unknown;
-  /** What another node can decode again. */
+  /** Encodes the configuration for another node. */
   readonly bytes: () => Buffer;
 }
 
-/** What became of a candidate. */
+/** The result of applying a candidate. */
 export type ApplyResult =
   | { readonly kind: 'in-force'; readonly version: number }
   | { readonly kind: 'not-newer' }
   | { readonly kind: 'held-off'; readonly version: number; readonly findings: readonly Finding[] }
-  /** It comes into force once what it lacks is there. */
+  /** The version lacks policies or secrets; it can come into force once they are loaded. */
   | { readonly kind: 'short'; readonly version: number; readonly shortage: Shortage };
 
 /** One per node. */
 export class ConfigurationHolder {
   private matcher: RouteMatcher | undefined;
-  private held: ConfigurationCandidate | undefined;
+  private inForce: ConfigurationCandidate | undefined;
+  /** Newest version that was rejected. */
   private rejectedVersion = 0;
   private readonly check = createConfigurationCheck();
 
-  /** The routes in force, or undefined before the first configuration. */
+  /** The routes in force. Undefined before the first configuration. */
   get routes(): RouteMatcher | undefined {
     return this.matcher;
   }
 
+  /** The version in force; 0 before the first configuration. */
   get version(): number {
     return this.matcher?.version ?? 0;
   }
 
-  /** The configuration in force as bytes for another node. */
+  /** The configuration in force, encoded for another node. */
   bytes(): Buffer | undefined {
-    return this.held?.bytes();
+    return this.inForce?.bytes();
   }
 
-  /** Takes a candidate if it is newer than what is held. */
-  apply(offered: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): ApplyResult {
-    if (!(offered.version > Math.max(this.version, this.rejectedVersion))) {
+  /** Puts a candidate into force if it is newer than the version in force, complete and valid. */
+  apply(candidate: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): ApplyResult {
+    if (!(candidate.version > Math.max(this.version, this.rejectedVersion))) {
       return { kind: 'not-newer' };
     }
-    return this.check(offered.candidate).caseOf<ApplyResult>({
-      Left: (findings) => this.reject(offered.version, findings),
-      Right: (configuration) => this.complete(offered, configuration, supplies),
+    return this.check(candidate.candidate).caseOf<ApplyResult>({
+      Left: (findings) => this.reject(candidate.version, findings),
+      Right: (configuration) => this.complete(candidate, configuration, supplies),
     });
   }
 
   private complete(
-    offered: ConfigurationCandidate,
+    candidate: ConfigurationCandidate,
     configuration: MeshConfiguration,
     supplies: Supplies,
   ): ApplyResult {
-    const { version } = offered;
+    const { version } = candidate;
     const completion = completeConfiguration(configuration, supplies);
     switch (completion.kind) {
       case 'short':
@@ -75,7 +78,7 @@
         return this.reject(version, completion.findings);
       default:
         this.matcher = new RouteMatcher(configuration, this.matcher, completion.complements);
-        this.held = offered;
+        this.inForce = candidate;
         return { kind: 'in-force', version };
     }
   }
--- a/src/source/dependencyLoader.ts
+++ b/src/source/dependencyLoader.ts
@@ -1,28 +1,29 @@
 /**
- * Gets what some configurations need and most do not: the compiler of placement policies, which
- * takes tens of milliseconds and megabytes to load, and the values of secrets.
+ * Loads the dependencies that only some configurations have: the compiler of placement policies and
+ * the values of secrets. They are loaded on demand because the compiler takes tens of milliseconds
+ * and megabytes of memory to load.
  */
 import type { PolicyCompiler, Shortage, Supplies } from '../routing/completeConfiguration.js';
 import { type ObjectStore, ReadConsistency } from './object-store.js';
 
-/** Kind of the objects that hold secrets. */
+/** Kind of the store objects that hold secrets. */
 export const SECRET_KIND = 'spindlepaddle-secrets';
 
-/** What a secret's object holds. */
+/** The spec of a secret's store object. */
 export interface SecretObject {
   readonly value: string;
 }
 
-/** What is needed of the node. */
+/** Dependencies of a {@link DependencyLoader}. */
 export interface DependencyLoaderContext {
   readonly store: ObjectStore;
   readonly loadPolicyCompiler: () => Promise<PolicyCompiler>;
 }
 
 export interface DependencyLoader {
-  /** What has been fetched so far. */
+  /** The policy compiler and the secrets loaded so far. */
   readonly dependencies: Supplies;
-  /** Fetches what is missing, as far as it is to be had now. */
+  /** Loads what is missing. Secrets stay as they are if the store does not answer. */
   load(shortage: Shortage): Promise<void>;
 }
 
--- a/src/source/eraGuard.test.ts
+++ b/src/source/eraGuard.test.ts
@@ -1,3 +1,7 @@
+/**
+ * A store that has been restored from a copy uses the same revisions again. These tests guard
+ * against watches and conditional writes that use a revision read before the restore.
+ */
 import { describe, expect, it } from 'vitest';
 import { MemoryStore, StoreView } from '../../lab/memory-store.js';
 import { createEraGuard, type EraGuard } from './eraGuard.js';
@@ -5,19 +9,19 @@
 
 const KIND = 'orders';
 
-/** Longer than a store that has answered is taken to be in the same era, in milliseconds. */
+/** Longer than the guard assumes the same era after an answer, in milliseconds. */
 const LONG_MS = 1_000;
 
-/** A node's guarded way to a store that holds one object; the clock stands until it is moved. */
+/** A guarded store that holds one object. The clock only moves when the test moves it. */
 async function setUp() {
   const store = new MemoryStore();
   const view = new StoreView(store);
-  const rises: number[][] = [];
+  const increases: number[][] = [];
   const clock = { ms: 0, now: () => clock.ms };
   const guard = createEraGuard({
     clock,
     store: view,
-    onEraIncrease: (era, before) => rises.push([era, before]),
+    onEraIncrease: (era, before) => increases.push([era, before]),
   });
   view.onEra = guard.noteEra;
   store.put(KIND, 'first', { of: 'the first era' });
@@ -25,17 +29,17 @@
   if (!read.ok) {
     throw new Error(read.failure);
   }
-  return { store, view, guard, clock, rises, object: read.value };
+  return { store, view, guard, clock, increases, object: read.value };
 }
 
-/** The store gives the object's revision to another writing of it. */
-function writeAnew(store: MemoryStore): void {
+/** Restores the store and writes another version of the object under the same revision. */
+function restoreAndRewrite(store: MemoryStore): void {
   store.restore(0);
   store.put(KIND, 'first', { of: 'the second era' });
 }
 
-/** Each write under the condition that the object is as it was read. */
-const WRITES: readonly (readonly [
+/** The writes that require the object to be unchanged since it was read. */
+const CONDITIONAL_WRITES: readonly (readonly [
   string,
   (guard: EraGuard, object: { name: string; revision: number }) => Promise<unknown>,
 ])[] = [
@@ -44,21 +48,24 @@
   ['remove', (guard, object) => guard.remove(KIND, object.name, object.revision)],
 ];
 
-const held = (store: MemoryStore) => store.kind(KIND).get('first');
+const storedObject = (store: MemoryStore) => store.kind(KIND).get('first');
 
-describe('a node that knows of the later era', () => {
-  it.each(WRITES)('writes nothing on a condition of the earlier one: %s', async (_name, write) => {
-    const { store, guard, object } = await setUp();
-    writeAnew(store);
-    const before = held(store);
-    await guard.probe(KIND);
-    expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'conflict' });
-    expect(held(store)).toEqual(before);
-  });
+describe('after the store has reported the new era', () => {
+  it.each(CONDITIONAL_WRITES)(
+    'rejects a write with a revision of the earlier era: %s',
+    async (_name, write) => {
+      const { store, guard, object } = await setUp();
+      restoreAndRewrite(store);
+      const before = storedObject(store);
+      await guard.probe(KIND);
+      expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'conflict' });
+      expect(storedObject(store)).toEqual(before);
+    },
+  );
 
-  it('sends no watch of the earlier one', async () => {
+  it('sends no watch from a revision of the earlier era', async () => {
     const { store, view, guard, object } = await setUp();
-    writeAnew(store);
+    restoreAndRewrite(store);
     await guard.probe(KIND);
     const { calls } = view;
     const result = await guard.watch(KIND, object.revision, LONG_MS);
@@ -66,45 +73,51 @@
     expect(view.calls).toBe(calls);
   });
 
-  it('hears of each rise once, and not of the first era', async () => {
-    const { store, guard, rises } = await setUp();
+  it('reports each increase of the era once, and not the first era', async () => {
+    const { store, guard, increases } = await setUp();
     store.restore(0);
     store.restore(0);
     await guard.probe(KIND);
     await guard.probe(KIND);
-    expect(rises).toEqual([[2, 0]]);
+    expect(increases).toEqual([[2, 0]]);
     expect(guard.era).toBe(2);
   });
 });
 
-describe('a node that does not know of it yet', () => {
-  it.each(WRITES)('looks first when the store was quiet: %s', async (_name, write) => {
-    const { store, guard, clock, object } = await setUp();
-    writeAnew(store);
-    const before = held(store);
-    clock.ms += LONG_MS;
-    expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'conflict' });
-    expect(held(store)).toEqual(before);
-  });
+describe('before the store has reported the new era', () => {
+  it.each(CONDITIONAL_WRITES)(
+    'probes before a write if the store has not answered for a while: %s',
+    async (_name, write) => {
+      const { store, guard, clock, object } = await setUp();
+      restoreAndRewrite(store);
+      const before = storedObject(store);
+      clock.ms += LONG_MS;
+      expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'conflict' });
+      expect(storedObject(store)).toEqual(before);
+    },
+  );
 
-  it.each(WRITES)('takes no write for done that met another object: %s', async (_name, write) => {
-    const { store, guard, object } = await setUp();
-    writeAnew(store);
-    expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'unknown' });
-  });
+  it.each(CONDITIONAL_WRITES)(
+    'returns "unknown" for a write that changed a different object: %s',
+    async (_name, write) => {
+      const { store, guard, object } = await setUp();
+      restoreAndRewrite(store);
+      expect(await write(guard, object)).toMatchObject({ ok: false, failure: 'unknown' });
+    },
+  );
 
-  it('does not write while the store cannot be looked at', async () => {
+  it('does not write if the probe fails', async () => {
     const { store, view, guard, clock, object } = await setUp();
     clock.ms += LONG_MS;
     view.failure = 'unavailable';
     const result = await guard.remove(KIND, object.name, object.revision);
     expect(result).toMatchObject({ ok: false, failure: 'unavailable' });
-    expect(held(store)).toBeDefined();
+    expect(storedObject(store)).toBeDefined();
   });
 
-  it('is told nothing by a watch that the store has accepted at a revision given out again', async () => {
+  it('returns "history-gone" for a watch from a revision that is in use again', async () => {
     const { store, guard, object } = await setUp();
-    writeAnew(store);
+    restoreAndRewrite(store);
     store.put(KIND, 'second', {});
     const result = await guard.watch(KIND, object.revision, LONG_MS);
     expect(result).toMatchObject({ ok: false, failure: 'history-gone' });
--- a/src/source/eraGuard.ts
+++ b/src/source/eraGuard.ts
@@ -1,55 +1,59 @@
 /**
- * A store that may come back from a copy, made safe to go on with: nothing that was learnt of an earlier era is
- * taken for a place in the present one. The store gives revisions out again, so a watch from an old one may be
- * accepted and miss what changed below it, and a condition on an old one may meet another object.
+ * Protects a node against a store that has been restored from a copy: revisions of an earlier era
+ * are never used in the current one. The restored store uses the same revisions again. It may
+ * therefore accept a watch from an old revision and miss the changes below it, and a conditional
+ * write with an old revision may change a different object.
  */
 import type { Clock } from '../model/clock.js';
 import type { ObjectStore, StoreError, StoreResult } from './object-store.js';
 import { eraOf } from './storeRevision.js';
 
 /**
- * A store that has answered within this time, in milliseconds, is taken to be in the same era still: to come
- * back from a copy it has to be away first. After that a write with a condition is preceded by a probe, a tenth
- * of its price; such writes are rare.
+ * For this time after an answer, in milliseconds, the store is assumed to be in the same era: it
+ * has to be away before it can be restored. After that time, a probe precedes each conditional
+ * write. It costs a tenth of the write, and such writes are rare.
  */
 const SAME_ERA_MS = 500;
 
 const HISTORY_GONE: StoreError = {
   ok: false,
   failure: 'history-gone',
-  detail: 'the store has come back from a copy',
+  detail: 'the store has been restored from a copy',
 };
 
-const OUTDATED_ANSWER: StoreError = {
+const OUTDATED_RESPONSE: StoreError = {
   ok: false,
   failure: 'unavailable',
-  detail: 'an answer from before the store came back from a copy',
+  detail: 'the response is from before the store was restored from a copy',
 };
 
 const CONFLICT: StoreError = {
   ok: false,
   failure: 'conflict',
-  detail: 'read before the store came back from a copy',
+  detail: 'the object was read before the store was restored from a copy',
 };
 
 const UNKNOWN: StoreError = {
   ok: false,
   failure: 'unknown',
-  detail: 'the store came back from a copy meanwhile',
+  detail: 'the store was restored from a copy during the call',
 };
 
-/** What is needed of the node. */
+/** Dependencies of an {@link EraGuard}. */
 export interface EraGuardContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
-  /** The store has come back from a copy; not called for the first era that is heard of. */
-  readonly onEraIncrease?: (era: number, before: number) => void;
+  /**
+   * The store has been restored from a copy. Not called for the first era that the store reports.
+   */
+  readonly onEraIncrease?: (era: number, previousEra: number) => void;
 }
 
-/** The store, and the newest era that it has told. */
+/** The guarded store. */
 export interface EraGuard extends ObjectStore {
+  /** The newest era that the store has reported; 0 before the first. */
   readonly era: number;
-  /** The store has told this era in an answer. */
+  /** Called with the era that the store reports in a response. */
   noteEra(era: number): void;
 }
 
@@ -59,7 +63,9 @@
 
   const isOutdated = (revision: number) => eraOf(revision) < (era ?? 0);
 
-  const heard = async <Value>(call: Promise<StoreResult<Value>>): Promise<StoreResult<Value>> => {
+  const trackResponse = async <Value>(
+    call: Promise<StoreResult<Value>>,
+  ): Promise<StoreResult<Value>> => {
     const result = await call;
     if (result.ok) {
       answeredAt = clock.now();
@@ -67,24 +73,24 @@
     return result;
   };
 
-  const probe = (kind: string) => heard(store.probe(kind));
+  const probe = (kind: string) => trackResponse(store.probe(kind));
 
-  /** A write on the condition that an object is still of this revision. */
-  const writeAt = async <Value>(
+  /** Sends a write that requires the object to still have this revision. */
+  const writeIfUnchanged = async <Value>(
     kind: string,
     revision: number,
     write: () => Promise<StoreResult<Value>>,
   ): Promise<StoreResult<Value>> => {
     if (clock.now() - answeredAt > SAME_ERA_MS) {
-      const seen = await probe(kind);
-      if (!seen.ok) {
-        return seen;
+      const probed = await probe(kind);
+      if (!probed.ok) {
+        return probed;
       }
     }
     if (isOutdated(revision)) {
       return CONFLICT;
     }
-    const result = await heard(write());
+    const result = await trackResponse(write());
     return result.ok && isOutdated(revision) ? UNKNOWN : result;
   };
 
@@ -93,36 +99,37 @@
       return era ?? 0;
     },
     noteEra: (next) => {
-      const before = era;
-      if (before === undefined || next > before) {
+      const previous = era;
+      if (previous === undefined || next > previous) {
         era = next;
       }
-      if (before !== undefined && next > before) {
-        onEraIncrease?.(next, before);
+      if (previous !== undefined && next > previous) {
+        onEraIncrease?.(next, previous);
       }
     },
-    list: (kind, reading) => heard(store.list(kind, reading)),
-    get: (kind, name) => heard(store.get(kind, name)),
+    list: (kind, reading) => trackResponse(store.list(kind, reading)),
+    get: (kind, name) => trackResponse(store.get(kind, name)),
     watch: async (kind, revision, waitMs, signal) => {
       if (isOutdated(revision)) {
         return HISTORY_GONE;
       }
-      const result = await heard(store.watch<never>(kind, revision, waitMs, signal));
+      const result = await trackResponse(store.watch<never>(kind, revision, waitMs, signal));
       if (!result.ok) {
         return result;
       }
-      const drift = eraOf(result.value.revision) - eraOf(revision);
-      if (drift !== 0) {
-        return drift > 0 ? HISTORY_GONE : OUTDATED_ANSWER;
+      const eraDifference = eraOf(result.value.revision) - eraOf(revision);
+      if (eraDifference !== 0) {
+        return eraDifference > 0 ? HISTORY_GONE : OUTDATED_RESPONSE;
       }
       return result;
     },
-    create: (kind, name, spec) => heard(store.create(kind, name, spec)),
-    replace: (kind, object) => writeAt(kind, object.revision, () => store.replace(kind, object)),
+    create: (kind, name, spec) => trackResponse(store.create(kind, name, spec)),
+    replace: (kind, object) =>
+      writeIfUnchanged(kind, object.revision, () => store.replace(kind, object)),
     replaceStatus: (kind, object, status) =>
-      writeAt(kind, object.revision, () => store.replaceStatus(kind, object, status)),
+      writeIfUnchanged(kind, object.revision, () => store.replaceStatus(kind, object, status)),
     remove: (kind, name, revision) =>
-      writeAt(kind, revision, () => store.remove(kind, name, revision)),
+      writeIfUnchanged(kind, revision, () => store.remove(kind, name, revision)),
     probe,
     closeIdle: () => store.closeIdle(),
     close: () => store.close(),
--- a/src/source/object-store.ts
+++ b/src/source/object-store.ts
@@ -1,46 +1,48 @@
 /**
- * What the mesh needs of an object store: objects by kind and name, conditional
- * writes, and watches. Implementations translate; they decide nothing.
+ * The interface of the object store: objects by kind and name, conditional
+ * writes, and watches. Implementations only translate calls to a store's
+ * protocol.
  */
 
 /**
- * One stored object. The revision grows with every change of the store, also when that has come back from a
- * copy and counts from an earlier one on: see `storeRevision.ts`.
+ * One stored object. The revision grows with every change of the store, even after the store has
+ * been restored from a copy and its own revisions have gone back: see `storeRevision.ts`.
  */
 export interface StoredObject<Spec> {
   readonly name: string;
   readonly revision: number;
   readonly spec: Spec;
-  /** What the system says of an object that operators write; left out where there is none. */
+  /** The system's status of an object that operators write. Undefined if there is none. */
   readonly status?: unknown;
   /**
-   * The same for as long as the object exists: one that is deleted and made again has another. Told for
-   * kinds with a status only.
+   * Identifies one creation of the object: if the object is deleted and created again, this number
+   * changes. Set only for kinds with a status.
    */
   readonly made?: number;
 }
 
-/** All objects of a kind and the store's revision at that moment. */
+/** All objects of a kind, and the store's revision at the time of the list. */
 export interface StoreListing<Spec> {
   readonly items: readonly StoredObject<Spec>[];
   readonly revision: number;
 }
 
-/** One change. */
+/** One change of an object. */
 export interface StoreEvent<Spec> {
   readonly object: StoredObject<Spec>;
+  /** True if the object was deleted. */
   readonly gone: boolean;
 }
 
-/** Changes since a revision, and the revision to go on from. */
+/** Changes since a revision, and the revision to watch from next. */
 export interface StoreChanges<Spec> {
   readonly events: readonly StoreEvent<Spec>[];
   readonly revision: number;
 }
 
 /**
- * Why a call failed. `unknown`: it may have been carried out, or may still be.
- * `throttled` and `unavailable`: nothing was done.
+ * Why a call failed. After `unknown` the store may have executed the call, or may
+ * still do so. After `throttled` and `unavailable` the store has changed nothing.
  */
 export type StoreFailure =
   | 'conflict'
@@ -51,7 +53,7 @@
   | 'rejected'
   | 'unknown';
 
-/** A call that failed, and in words what was seen of that. */
+/** A call that failed, with a free-text description for logs. */
 export interface StoreError {
   readonly ok: false;
   readonly failure: StoreFailure;
@@ -60,40 +62,45 @@
 
 export type StoreResult<Value> = { readonly ok: true; readonly value: Value } | StoreError;
 
-/** A question for the changes of a kind after a revision, or for all its objects. */
+/** A request for the changes of a kind after a revision, or for all objects of the kind. */
 export interface StoreQuery {
   readonly kind: string;
-  /** Left out for a list. */
+  /** Undefined for a list. */
   readonly revision: number | undefined;
   /**
-   * Revision of an object that the asker holds, if any: a later version of the object may be told
-   * as what differs from that.
+   * Revision of an object that the requester holds, if any. The answer may send a later version of
+   * the object as the difference from that revision.
    */
   readonly base?: number | undefined;
-  /** Milliseconds that the answer may wait for a change. */
+  /** Longest time that the answer may wait for a change, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** How old an answer may be. */
+/** How old the result of a read may be. */
 export enum ReadConsistency {
-  /** As of now. */
+  /** The result includes all changes acknowledged before the read. */
   Strong = 'now',
-  /** It may be some seconds old, which costs the store little: a watch from there brings the rest. */
+  /**
+   * The result may be some seconds old, which costs the store little. A watch from its revision
+   * returns the later changes.
+   */
   BoundedStaleness = 'lately',
 }
 
-/** Calls never reject. */
+/** An object store. The promises that its calls return never reject. */
 export interface ObjectStore {
-  /** Set by its user: hears the size in bytes of each answer, with the kind of object it is about. */
+  /**
+   * Set by the caller; receives the size of each response in bytes, and the kind that it is about.
+   */
   onReceived?: (kind: string, bytes: number) => void;
-  /** Set by its user: hears of an entry of a kind that cannot be read; the others are given all the same. */
+  /** Set by the caller; called for each object that cannot be read. The others are returned. */
   onUnreadable?: (kind: string, reason: string) => void;
-  /** Set by its user: hears the store's era with the first answer that tells it, and each time that it rises. */
+  /** Set by the caller; called with the store's era when first reported and on each increase. */
   onEra?: (era: number) => void;
   list<Spec>(kind: string, reading: ReadConsistency): Promise<StoreResult<StoreListing<Spec>>>;
-  /** One object as it is now. */
+  /** Reads the current version of one object. */
   get<Spec>(kind: string, name: string): Promise<StoreResult<StoredObject<Spec>>>;
-  /** Waits up to `waitMs` for changes after a revision; a watch that is aborted fails. */
+  /** Waits up to `waitMs` milliseconds for changes after a revision. An aborted watch fails. */
   watch<Spec>(
     kind: string,
     revision: number,
@@ -101,22 +108,24 @@
     signal?: AbortSignal,
   ): Promise<StoreResult<StoreChanges<Spec>>>;
   create<Spec>(kind: string, name: string, spec: Spec): Promise<StoreResult<StoredObject<Spec>>>;
-  /** Replaces an object if its revision is still the given one. */
+  /** Replaces an object if it still has the given revision. */
   replace<Spec>(kind: string, object: StoredObject<Spec>): Promise<StoreResult<StoredObject<Spec>>>;
-  /** Replaces the status alone, if the object's revision is still the given one. */
+  /** Replaces only the status of an object, if the object still has the given revision. */
   replaceStatus<Spec>(
     kind: string,
     object: Pick<StoredObject<unknown>, 'name' | 'revision'>,
     status: unknown,
   ): Promise<StoreResult<StoredObject<Spec>>>;
-  /** Deletes an object if its revision is still the given one. */
+  /** Deletes an object if it still has the given revision. */
   remove(kind: string, name: string, revision: number): Promise<StoreResult<undefined>>;
   /**
-   * The cheapest call that shows whether the store is within reach. Gives the store's revision as it
-   * was lately: no object of any kind has changed later than that unless something newer exists.
+   * The cheapest call that shows whether the store is within reach. Returns a recent revision of
+   * the store as a whole, for objects of all kinds. It may be slightly behind the newest one.
    */
   probe(kind: string): Promise<StoreResult<number>>;
-  /** Closes the connections that rest: one like them was found silent, and they may be as well. */
+  /**
+   * Closes idle connections, after another connection stopped answering: they may be dead as well.
+   */
   closeIdle(): void;
   close(): void;
 }
--- a/src/source/observed-store.ts
+++ b/src/source/observed-store.ts
@@ -1,4 +1,4 @@
-/** An object store whose calls are counted by operation and result. */
+/** An object store that reports the operation, result and duration of each call to an observer. */
 import {
   type ObjectStore,
   ReadConsistency,
@@ -8,10 +8,10 @@
   type StoreResult,
 } from './object-store.js';
 
-/** Hears of every call. */
+/** Called after each call. `result` is `ok` or the failure. */
 export type StoreObserver = (operation: string, result: string, durationMs: number) => void;
 
-/** Passes every call on. */
+/** Passes each call on to the given store. */
 export class ObservedStore implements ObjectStore {
   constructor(
     private readonly store: ObjectStore,
--- a/src/source/source.test.ts
+++ b/src/source/source.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('ConfigurationHolder', () => {
-  it('never goes back, whichever way an older version comes', () => {
+  it('never replaces the version in force by the same or an older one', () => {
     const holder = new ConfigurationHolder();
     expect(holder.apply(candidateOf(5)).kind).toBe('in-force');
     expect(holder.apply(candidateOf(4)).kind).toBe('not-newer');
@@ -33,7 +33,7 @@
     expect(holder.apply(candidateOf(9)).kind).toBe('in-force');
   });
 
-  it('holds off a version that cannot be used whole, says so once, and keeps the last', () => {
+  it('rejects a faulty version as a whole, reports it once and keeps the version in force', () => {
     const holder = new ConfigurationHolder();
     holder.apply(candidateOf(5));
     expect(holder.apply(candidateOf(6, 'odd'))).toMatchObject({ kind: 'held-off', version: 6 });
@@ -44,7 +44,7 @@
   });
 });
 
-/** A store that gives prepared answers in turn and then stays silent. */
+/** A store that returns prepared responses in order; after the last one, calls do not return. */
 class ScriptedStore implements ObjectStore {
   readonly calls: string[] = [];
 
@@ -108,7 +108,7 @@
   }
 }
 
-it('who has fallen behind reads the newest version alone, until there is no newer one', async () => {
+it('reads only the newest version after falling behind, until there is no newer one', async () => {
   const calls: string[] = [];
   const seen: number[] = [];
   const objectAt = (revision: number) => ({ name: 'main', revision, spec: {} as never });
@@ -149,7 +149,7 @@
   expect(seen).toEqual([5, 8, 12]);
 });
 
-/** Runs a watcher until the script is at its end. */
+/** Runs a watcher until it has received all prepared responses. */
 async function follow(script: ConstructorParameters<typeof ScriptedStore>[0]) {
   const store = new ScriptedStore([...script]);
   const seen: string[] = [];
@@ -173,7 +173,7 @@
 }
 
 describe('CollectionWatcher', () => {
-  it('lists, then watches from the revision of the list', async () => {
+  it('lists first, then watches from the revision of the list', async () => {
     const { calls, seen } = await follow([
       { revision: 7, names: ['a'] },
       { revision: 9, names: ['b'] },
@@ -182,7 +182,7 @@
     expect(seen).toEqual(['connected', 'list a', 'change b']);
   });
 
-  it('lists anew when the history is gone', async () => {
+  it('lists again if the history is gone', async () => {
     const { calls } = await follow([
       { revision: 7, names: [] },
       'history-gone',
@@ -191,7 +191,7 @@
     expect(calls).toEqual(['list', 'watch 7', 'list', 'watch 20']);
   });
 
-  it('takes a list of now that is older than a first one which may have been of before the store came back', async () => {
+  it('accepts a strong list that is older than a first list from before a restore', async () => {
     const { calls, seen } = await follow([
       { revision: 310, names: ['a'] },
       'history-gone',
@@ -202,7 +202,7 @@
     expect(seen).toEqual(['connected', 'list a', 'list b', 'change c']);
   });
 
-  it('goes on from the same revision after a failure', async () => {
+  it('continues from the same revision after a failure', async () => {
     const { calls, seen } = await follow([
       { revision: 7, names: [] },
       'unavailable',
@@ -213,18 +213,18 @@
   });
 });
 
-it('waits less after a call that was met with silence: the time that it took counts', async () => {
+it('counts the duration of a failed call as part of the backoff', async () => {
   vi.useFakeTimers();
   const sentAt: number[] = [];
-  const silence = (afterMs: number) =>
+  const failAfter = (afterMs: number) =>
     new Promise((resolve) => {
       setTimeout(resolve, afterMs, { ok: false, failure: 'unknown', detail: 'silent' });
     });
-  const took = [0, 0, 0, 0, 1_500, 1_500, 400];
+  const durationsMs = [0, 0, 0, 0, 1_500, 1_500, 400];
   const store = {
     list: () => {
       sentAt.push(performance.now());
-      return silence(took[sentAt.length - 1] ?? 60_000);
+      return failAfter(durationsMs[sentAt.length - 1] ?? 60_000);
     },
   } as unknown as ObjectStore;
   const handler = { onList: () => {}, onChange: () => {}, onConnected: () => {} };
@@ -238,7 +238,7 @@
   expect(gaps).toEqual([150, 300, 600, 1_000, 1_650, 1_650, 1_000]);
 });
 
-it('pauses between lists whose history is gone each time', async () => {
+it('pauses between lists if the history is gone after each of them', async () => {
   vi.useFakeTimers();
   let calls = 0;
   const store = {
@@ -255,6 +255,6 @@
   await vi.advanceTimersByTimeAsync(3_000);
   watcher.stop();
   vi.useRealTimers();
-  // The first list may lag, so its history may be gone: only from the second on there are pauses.
+  // The first list may be stale, so its history may be gone: pauses begin with the second list.
   expect(calls).toBeLessThanOrEqual(22);
 });
--- a/src/source/storeRevision.ts
+++ b/src/source/storeRevision.ts
@@ -1,19 +1,19 @@
 /**
- * Revisions that never go back, though the store's own may: a store that comes back from a copy gives
- * revisions out again, and raises its era. Here the era stands before the store's own count, in one number, so
- * that what is newer is always greater, whichever of the two made it so.
+ * Revisions that never go back. A store that has been restored from a copy uses its own revisions
+ * again and raises its era. These revisions combine the era (high digits) and the store's own count
+ * (low digits) in one number, so that a newer revision is always greater.
  */
 
 /**
- * Changes of one era that can be told apart. At 400 a second a store makes as many in 5 years; the number stays
- * exact (below 2 ** 53) for 131,072 eras.
+ * Number of changes in one era; at 400 changes a second, a store reaches it in 5 years. The
+ * combined number stays exact (below 2 ** 53) for 131,072 eras.
  */
 const CHANGES_PER_ERA = 2 ** 36;
 
-/** The last era that can be told apart. */
+/** The highest era that a revision can hold. */
 export const LAST_ERA = 2 ** 17 - 1;
 
-/** `count` is the store's own revision. */
+/** Combines an era and the store's own revision, `count`. */
 export function revisionOf(era: number, count: number): number {
   return era * CHANGES_PER_ERA + count;
 }
@@ -22,15 +22,15 @@
   return Math.floor(revision / CHANGES_PER_ERA);
 }
 
-/** The store's own revision. */
+/** Returns the store's own revision. */
 export function countOf(revision: number): number {
   return revision % CHANGES_PER_ERA;
 }
 
 /**
- * True if what was last seen at `seen` and isn't there at `now` need not have been removed: the store may have
- * lost it when it came back from a copy.
+ * True if an object that was last read at revision `lastSeen` and is missing at revision `current`
+ * may have been lost by a restore of the store rather than removed.
  */
-export function mayBeLost(seen: number, now: number): boolean {
-  return eraOf(seen) < eraOf(now);
+export function mayBeLost(lastSeen: number, current: number): boolean {
+  return eraOf(lastSeen) < eraOf(current);
 }
