--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -1,30 +1,33 @@
-/** Who a request is from, and whether its key lets it in. */
+/** Decides from a request's API key which tenant sent it and whether it is admitted. */
 import type { Keyring } from './keyring.js';
 import type { MeshTenant } from './tenant.js';
 
 export enum AccessKind {
   Granted = 'granted',
-  /** It carries no key, more than one, or one that nobody holds. */
+  /** The request carries no key, more than one key, or a key that no tenant holds. */
   Denied = 'denied',
-  /** What this node knows is too old to tell. */
+  /** The configuration in force at this node may be too old for a decision. */
   Uncertain = 'uncertain',
 }
 
 export type Access =
-  /** `tenant` is undefined where no key is needed. */
+  /** `tenant` is undefined if the request needs no key. */
   | { readonly kind: AccessKind.Granted; readonly tenant: MeshTenant | undefined }
   | { readonly kind: AccessKind.Denied | AccessKind.Uncertain };
 
-/** What the decision rests on. */
+/** The input of {@link decideAccess}. */
 export interface AccessContext {
   readonly keyring: Keyring;
   /** True if the route of the request needs no key. */
   readonly isPublic: boolean;
-  /** Every value that the request carries in the field for keys. */
+  /** All values of the request's header field for API keys. */
   readonly keys: readonly string[];
-  /** True when there may be a newer configuration than the one of the keyring. */
+  /** True if there may be a newer configuration than that of the keyring. */
   readonly mayBeStale: boolean;
-  /** True when a key may have been taken away so long ago that it must not be believed any longer. */
+  /**
+   * True if the configuration may be so old that keys revoked since then must no longer be
+   * accepted.
+   */
   readonly isTooStale: boolean;
 }
 
@@ -32,8 +35,8 @@
 const DENIED: Access = { kind: AccessKind.Denied };
 const UNCERTAIN: Access = { kind: AccessKind.Uncertain };
 
-export function decideAccess(question: AccessContext): Access {
-  const { keyring, isPublic, keys, mayBeStale, isTooStale } = question;
+export function decideAccess(context: AccessContext): Access {
+  const { keyring, isPublic, keys, mayBeStale, isTooStale } = context;
   if (!keyring.hasTenants || isPublic) {
     return OPEN;
   }
@@ -42,7 +45,7 @@
   }
   const tenant = keys[0] === undefined ? undefined : keyring.tenantOf(keys[0]);
   if (!tenant) {
-    // The key may be new, or the route public, in a version that has not come here yet.
+    // In a version that is not yet in force here, the key may exist or the route may be public.
     return mayBeStale ? UNCERTAIN : DENIED;
   }
   return isTooStale ? UNCERTAIN : { kind: AccessKind.Granted, tenant };
--- a/src/tenants/keyring.test.ts
+++ b/src/tenants/keyring.test.ts
@@ -8,7 +8,7 @@
 const BETA = tenant({ name: 'beta', apiKeys: ['beta-key'], priority: 0 });
 
 describe('a keyring', () => {
-  it('finds the tenant of each of its keys, and nobody for any other', () => {
+  it('returns the tenant of each of its keys, and undefined for any other key', () => {
     const keyring = createKeyring([ACME, BETA]);
     const found = ['acme-old', 'acme-new', 'beta-key', 'acme', '', 'ACME-OLD', 'acme-old '].map(
       (key) => keyring.tenantOf(key)?.name,
@@ -16,14 +16,14 @@
     expect(found).toEqual(['acme', 'acme', 'beta', undefined, undefined, undefined, undefined]);
   });
 
-  it('shows too little of a key to find it by', () => {
+  it('shows a short digest of a key, different for each key', () => {
     expect(keyDigest('acme-old')).toMatch(/^[0-9a-f]{8}$/);
     expect(keyDigest('acme-old')).not.toBe(keyDigest('acme-new'));
   });
 });
 
 describe('decideAccess', () => {
-  const question = {
+  const context = {
     keyring: createKeyring([ACME, BETA]),
     isPublic: false,
     keys: [] as string[],
@@ -38,20 +38,32 @@
     ['two keys', { keys: ['beta-key', 'beta-key'] }, AccessKind.Denied, undefined],
     ['two keys in one field', { keys: ['beta-key, acme-old'] }, AccessKind.Denied, undefined],
     ['a public route', { isPublic: true, keys: ['beta-key'] }, AccessKind.Granted, undefined],
-    ['an unknown key that may be new', { keys: ['other'], mayBeStale: true }, AccessKind.Uncertain],
-    ['no key where the route may be public by now', { mayBeStale: true }, AccessKind.Uncertain],
-    ['two keys, whatever is newest', { keys: ['a', 'b'], mayBeStale: true }, AccessKind.Denied],
-    ['a key that must be proven', { keys: ['beta-key'], isTooStale: true }, AccessKind.Uncertain],
+    [
+      'an unknown key, maybe stale configuration',
+      { keys: ['other'], mayBeStale: true },
+      AccessKind.Uncertain,
+    ],
+    ['no key, maybe stale configuration', { mayBeStale: true }, AccessKind.Uncertain],
+    [
+      'two keys, maybe stale configuration',
+      { keys: ['a', 'b'], mayBeStale: true },
+      AccessKind.Denied,
+    ],
+    [
+      'a known key, too stale configuration',
+      { keys: ['beta-key'], isTooStale: true },
+      AccessKind.Uncertain,
+    ],
     ['no tenants', { keyring: createKeyring([]), keys: ['a', 'b'] }, AccessKind.Granted],
   ])('%s', (_case, fields, kind, name = undefined) => {
-    const access = decideAccess({ ...question, ...fields });
+    const access = decideAccess({ ...context, ...fields });
     expect(access.kind).toBe(kind);
     expect(access.kind === AccessKind.Granted ? access.tenant?.name : undefined).toBe(name);
   });
 });
 
 describe('tenantFindings', () => {
-  it('names the place of a name or a key that leads to two tenants, and tells no key', () => {
+  it('reports the path of a name or key that two tenants share, without the key', () => {
     const thief = tenant({ name: 'thief', apiKeys: ['own', 'beta-key'] });
     const findings = tenantFindings([ACME, BETA, thief, { ...ACME, apiKeys: [] }]);
     expect(findings.map(({ code, path }) => [code, path])).toEqual([
@@ -61,7 +73,7 @@
     expect(JSON.stringify(findings)).not.toContain('beta-key');
   });
 
-  it('lets a tenant list a key twice', () => {
+  it('accepts a tenant that lists a key twice', () => {
     expect(tenantFindings([tenant({ name: 'a', apiKeys: ['k', 'k'] })])).toEqual([]);
   });
 });
--- a/src/tenants/keyring.ts
+++ b/src/tenants/keyring.ts
@@ -1,17 +1,20 @@
 /**
- * The keys of one configuration, by their digests: a key that nobody holds takes the same steps as one
- * that somebody does, and how far it agrees with a true one does not show in the time it takes.
+ * The API keys of one configuration, stored by their digests. A lookup takes the same steps for an
+ * unknown key as for a known one, and its duration does not show how much of a key is right.
  */
 import { hash } from 'node:crypto';
 import type { MeshTenant } from './tenant.js';
 
-/** Hexadecimal digits by which an operator may tell keys apart: too few to find a key by. */
+/**
+ * Number of hexadecimal digits of a digest that operators see: enough to distinguish keys, too few
+ * to find a key.
+ */
 const SHOWN_DIGITS = 8;
 
 export interface Keyring {
-  /** False without tenants: then nobody needs a key. */
+  /** False if the configuration has no tenants; then no request needs a key. */
   readonly hasTenants: boolean;
-  /** The tenant that holds a key. */
+  /** The tenant that holds a key. Undefined if no tenant does. */
   tenantOf(key: string): MeshTenant | undefined;
 }
 
@@ -28,7 +31,7 @@
   };
 }
 
-/** What may be shown of a key. */
+/** Returns the part of a key's digest that may be shown to operators. */
 export function keyDigest(key: string): string {
   return digestOf(key).slice(0, SHOWN_DIGITS);
 }
--- a/src/tenants/priority.ts
+++ b/src/tenants/priority.ts
@@ -1,11 +1,17 @@
-/** How urgent a request is, in one number: that of its tenant first, and among equals that of its route. */
+/**
+ * The priority of a request in one number. It is ordered by the priority of the tenant, and among
+ * tenants of equal priority by that of the route.
+ */
 
 import { MAX_PRIORITY } from './tenant.js';
 
-/** Number of the priorities that a configuration may give. */
+/** Number of different priorities in a configuration. */
 export const PRIORITY_COUNT = MAX_PRIORITY + 1;
 
-/** Smaller is more urgent; without a tenant's own priority, the route's stands for both. */
+/**
+ * A smaller number is more urgent. If there is no tenant, or it has no priority, the priority of
+ * the route is used for both.
+ */
 export function priorityOf(
   tenant: { readonly priority?: number | undefined } | undefined,
   route: { readonly priority: number },
--- a/src/tenants/quotaGate.test.ts
+++ b/src/tenants/quotaGate.test.ts
@@ -1,4 +1,4 @@
-/** Decisions of one node and of a few, without a network. */
+/** Quota decisions of one node and of a few nodes, without a network. */
 import { beforeEach, describe, expect, it } from 'vitest';
 import { createQuotaGate, type QuotaDecision, type QuotaGate } from './quotaGate.js';
 import {
@@ -29,14 +29,14 @@
     ['bounds without overage or slack', tenantOf(10), { ...BOUNDS, overage: 0, slack: 0 }],
     ['no burst, no overage, no slack', tenantOf(10, 0), { ...BOUNDS, overage: 0, slack: 0 }],
     ['less than a request a window', tenantOf(0.1, 0), { ...BOUNDS, overage: 0, slack: 0 }],
-  ])('as one bucket keeps the bound in every window: %s', (_case, tenant, bounds) => {
+  ])('stays within the bound in every window as one bucket: %s', (_case, tenant, bounds) => {
     const { tokensPerMs, depth } = quotaLimitsOf(tenant, bounds);
     const most = depth + tokensPerMs * bounds.windowMs;
     expect(Math.floor(most)).toBeLessThanOrEqual(Math.max(1, windowBound(tenant, bounds)));
     expect(depth).toBeGreaterThanOrEqual(1);
   });
 
-  it('is held by all nodes if it is large, by a few of each zone if it is small', () => {
+  it('is held by all nodes if it is large, and by a few nodes of each zone if it is small', () => {
     const members = membersOf([30, 20, 10, 9]);
     expect(holdersOf('acme', quotaLimitsOf(tenantOf(1_000), BOUNDS), members)).toEqual(members);
     const few = holdersOf('acme', quotaLimitsOf(tenantOf(2), BOUNDS), members);
@@ -51,9 +51,10 @@
 describe('a gate', () => {
   let now: number;
   let pools: Map<string, QuotaPool>;
-  let asks: string[];
-  /** Milliseconds that each answer takes. */
-  let slowness: number;
+  /** Holders that were asked, in order. */
+  let asked: string[];
+  /** Duration of each request to a holder, in milliseconds. */
+  let answerDelayMs: number;
   let answer: (holder: string, wanted: number) => QuotaGrant | undefined;
   let gate: QuotaGate;
   const clock = { now: () => now };
@@ -68,8 +69,8 @@
 
   beforeEach(() => {
     now = 0;
-    asks = [];
-    slowness = 0;
+    asked = [];
+    answerDelayMs = 0;
     pools = new Map(members.map(({ node }) => [node, createQuotaPool(node)]));
     refresh(1, [tenant]);
     answer = (holder, wanted) => pools.get(holder)?.grant('acme', wanted, now);
@@ -80,9 +81,9 @@
       windowMs: BOUNDS.windowMs,
       pool: pools.get('z0n0') as QuotaPool,
       requestGrant: (holder, _tenant, wanted) => {
-        asks.push(holder.node);
+        asked.push(holder.node);
         return Promise.resolve(answer(holder.node, wanted)).then((grant) => {
-          now += slowness;
+          now += answerDelayMs;
           return grant;
         });
       },
@@ -94,59 +95,59 @@
   const admittedOf = (decisions: readonly QuotaDecision[]): number =>
     decisions.filter(({ isAdmitted }) => isAdmitted).length;
 
-  it('lets nothing through at the start, and all parts of the quota once they are full', async () => {
+  it('admits nothing at the start, and the whole quota once all parts are full', async () => {
     expect(admittedOf(await admitMany(10))).toBe(0);
     now = 10_000;
-    asks = [];
+    asked = [];
     const whole = quotaLimitsOf(tenant, BOUNDS).depth;
     const admitted = admittedOf(await admitMany(200));
     expect(admitted).toBeLessThanOrEqual(whole);
     expect(admitted).toBeGreaterThan(whole - members.length);
-    expect(asks[0]).toBe('z0n1');
-    // The first one was asked for one request before the others had come.
-    expect(asks.length).toBeLessThanOrEqual(4);
+    expect(asked[0]).toBe('z0n1');
+    // The first holder was asked for one request before the other requests had arrived.
+    expect(asked.length).toBeLessThanOrEqual(4);
   });
 
-  it('lets nobody in by a limit whose parts it does not know yet', () => {
+  it('admits no request of a limited tenant whose parts it does not know yet', () => {
     const stranger = tenantSchema.parse({ name: 'stranger', ratePerS: 1 });
     expect(gate.admit(stranger)).toMatchObject({ isAdmitted: false, details: { holders: 0 } });
   });
 
-  it('asks nobody for what it holds itself, and never for a tenant without a limit', async () => {
+  it('asks no holder while its own part has tokens, or for a tenant without a limit', async () => {
     now = 10_000;
     expect(admittedOf(await admitMany(5))).toBe(5);
     expect(admittedOf(await admitMany(500, tenantSchema.parse({ name: 'free' })))).toBe(500);
-    expect(asks).toEqual([]);
+    expect(asked).toEqual([]);
   });
 
-  it('refuses without asking again while all are dry, and asks callers back one after the other', async () => {
+  it('refuses without asking while all holders are empty, and spreads retries', async () => {
     now = 10_000;
     await admitMany(200);
-    const before = asks.length;
+    const previousCount = asked.length;
     now += 50;
     const refused = (await admitMany(6)).filter((decision) => !decision.isAdmitted);
-    expect(asks.length).toBe(before);
-    const times = refused.map((decision) =>
+    expect(asked.length).toBe(previousCount);
+    const retryTimes = refused.map((decision) =>
       'retryAfterMs' in decision ? decision.retryAfterMs : 0,
     );
-    expect(times).toEqual([...times].sort((left, right) => left - right));
-    expect(Math.min(...times)).toBeGreaterThan(0);
-    expect(Math.max(...times)).toBeLessThanOrEqual(BOUNDS.windowMs);
+    expect(retryTimes).toEqual([...retryTimes].sort((left, right) => left - right));
+    expect(Math.min(...retryTimes)).toBeGreaterThan(0);
+    expect(Math.max(...retryTimes)).toBeLessThanOrEqual(BOUNDS.windowMs);
     expect(refused[0]).toMatchObject({
       details: { ratePerS: 40, holders: 4, isHolder: true, dry: 3 },
     });
   });
 
-  it('goes past holders that are silent, and leaves them alone for a while', async () => {
+  it('skips a holder that does not answer, and does not ask it for a while', async () => {
     now = 10_000;
     answer = (holder, wanted) =>
       holder === 'z0n1' ? undefined : pools.get(holder)?.grant('acme', wanted, now);
     const whole = quotaLimitsOf(tenant, BOUNDS).depth;
     expect(admittedOf(await admitMany(200))).toBeGreaterThan((whole * 3) / 4 - members.length);
-    expect(asks.filter((node) => node === 'z0n1').length).toBe(1);
+    expect(asked.filter((node) => node === 'z0n1').length).toBe(1);
   });
 
-  it('asks a holder that was dry as soon as it has a request again, where there is no other', async () => {
+  it('asks an empty holder once it has a token again, if there is no other', async () => {
     const small = tenantOf(10);
     const few = { windowMs: 1_000, overage: 0.1, slack: 0 };
     for (const pool of pools.values()) {
@@ -156,7 +157,7 @@
     const whole = admittedOf(await admitMany(20, small));
     expect(whole).toBeGreaterThan(0);
     expect(pools.get('z0n0')?.view('acme')?.localBucket).toBe(undefined);
-    // Below its rate from now on; holders were last asked in vain.
+    // From here on, the tenant stays below its rate. The last request to the holders got no grant.
     let admitted = 0;
     for (let sent = 0; sent < 10; sent += 1) {
       now += 260;
@@ -165,30 +166,30 @@
     expect(admitted).toBe(20);
   });
 
-  it('lets nobody in by a grant that came too late', async () => {
+  it('admits no request by a grant that arrives too late', async () => {
     now = 10_000;
-    slowness = 201;
+    answerDelayMs = 201;
     answer = (_holder, wanted) => ({ granted: wanted, dryMs: 0 });
     const own = admittedOf(await admitMany(200));
     expect(own).toBeLessThanOrEqual(quotaLimitsOf(tenant, BOUNDS).depth / 4);
   });
 
-  it('takes back at once what has not run, once, and nothing later', async () => {
+  it('accepts a refund once and only for a short time after the admission', async () => {
     now = 10_000;
     answer = () => ({ granted: 0, dryMs: 1_000 });
     const decisions = await admitMany(50);
-    const giveBack = decisions.map((each) => (each.isAdmitted ? each.refund : () => {}));
-    giveBack[0]?.();
-    giveBack[0]?.();
+    const refunds = decisions.map((each) => (each.isAdmitted ? each.refund : () => {}));
+    refunds[0]?.();
+    refunds[0]?.();
     expect(admittedOf(await admitMany(5))).toBe(1);
     now += 201;
     const later = admittedOf(await admitMany(5));
-    giveBack[1]?.();
+    refunds[1]?.();
     expect(later).toBeGreaterThan(0);
     expect(admittedOf(await admitMany(5))).toBe(0);
   });
 
-  it('takes a new limit with what it holds, and a first one with a whole burst', async () => {
+  it('keeps tokens when a limit changes, and starts a first limit full', async () => {
     now = 10_000;
     refresh(2, [tenantOf(4)]);
     const lowered = quotaLimitsOf(tenantOf(4), BOUNDS).depth;
--- a/src/tenants/quotaGate.ts
+++ b/src/tenants/quotaGate.ts
@@ -1,6 +1,7 @@
 /**
- * Lets a tenant's requests through, or not: from the part of its quota that is held here, else from those
- * of other holders, which are asked in turn. Requests that wait for an answer are asked for together.
+ * Admits or refuses the requests of a tenant by its quota. A request takes a token from the quota
+ * part that this node holds. If that part is empty, the gate asks the other holders one after the
+ * other for tokens, for all waiting requests of the tenant together.
  */
 import type { Clock } from '../model/clock.js';
 import { rankNames } from '../model/rendezvous.js';
@@ -8,18 +9,19 @@
 import type { QuotaGrant, QuotaPool, QuotaView } from './quotaPool.js';
 import type { MeshTenant } from './tenant.js';
 
-/** What a refusal rests on, for the log. */
+/** The state behind a refusal, for the log. */
 export interface QuotaRefusalDetails {
   readonly ratePerS: number;
   readonly burst: number;
-  /** Nodes that hold a part. */
+  /** Number of nodes that hold a part of the quota. */
   readonly holders: number;
   /** True if this node is one of them. */
   readonly isHolder: boolean;
-  /** Milliseconds since holders were last asked; undefined if none ever was. */
+  /** Milliseconds since a holder was last asked. Undefined if none ever was. */
   readonly askedAgoMs: number | undefined;
-  /** Holders that were dry, and such as did not answer, when they were last asked. */
+  /** Number of holders that are not asked now because they were empty when last asked. */
   readonly dry: number;
+  /** Number of holders that are not asked now because they did not answer when last asked. */
   readonly silent: number;
 }
 
@@ -31,14 +33,17 @@
       readonly details: QuotaRefusalDetails;
     };
 
-/** What is needed of the node. */
+/** Dependencies and settings of a {@link QuotaGate}. */
 export interface QuotaGateContext {
   readonly clock: Clock;
   readonly node: string;
   readonly zone: string;
   readonly windowMs: number;
   readonly pool: QuotaPool;
-  /** Asks a holder for grants; undefined when it does not answer within `GRANT_LIFETIME_MS`. */
+  /**
+   * Asks a holder to grant up to `wanted` requests. Undefined if it does not answer within
+   * `GRANT_LIFETIME_MS`.
+   */
   readonly requestGrant: (
     holder: QuotaMember,
     tenant: string,
@@ -47,49 +52,57 @@
 }
 
 export interface QuotaGate {
+  /** Decides on one request of a tenant; returns a promise if other holders have to be asked. */
   admit(tenant: MeshTenant): QuotaDecision | Promise<QuotaDecision>;
 }
 
-/** Holders asked one after the other for the same requests: a refusal is to come at once. */
-const MOST_ASKED = 4;
+/** Most holders asked in a row without a grant, so that a refusal comes quickly. */
+const MAX_ASKED = 4;
 
 /**
- * After holders have granted nothing, none is asked for that tenant for this long, in milliseconds: what a
- * tenant sends over its limit so costs a node at the most 16 calls a second.
+ * Backoff after holders have granted nothing, in milliseconds: no holder is asked for that tenant
+ * during this time. Requests over a tenant's limit cost a node at most 16 requests to holders
+ * a second.
  */
-const REST_MS = 250;
+const BACKOFF_MS = 250;
 
 /**
- * A holder that was dry is not asked again for this long, in milliseconds, unless it has long been: callers
- * that keep to few nodes have used up the parts near them, and there is more further off.
+ * Shortest time for which an empty holder is not asked again, in milliseconds, if there are others.
+ * Clients that use few nodes empty the parts near them, while holders further away still have
+ * tokens.
  */
-const DRY_MS = 1_000;
+const EMPTY_HOLDER_BACKOFF_MS = 1_000;
 
-/** A holder that has not answered is not asked again for this long, in milliseconds. */
-const SILENT_MS = 1_000;
+/** Time for which a holder that has not answered is not asked again, in milliseconds. */
+const SILENT_HOLDER_BACKOFF_MS = 1_000;
 
-/** What a node remembers of the borrowing for one tenant. */
+/** State of the requests to other holders for one tenant. */
 interface Borrowing {
+  /** Requests that wait for a grant, oldest first. */
   readonly waiting: ((decision: QuotaDecision) => void)[];
-  /** The limit under which holders were asked. */
+  /** The limit for which the holders were asked; another limit resets this state. */
   ratePerS: number;
   burst: number;
-  /** Steady times at which holders that were dry have a whole request again. */
+  /** Steady times at which empty holders have a whole token again, by node. */
   refilledAt: Map<string, number>;
-  /** Steady times until which they are not asked, and those that were silent. */
+  /** Steady times until which empty holders are not asked if there are others, by node. */
   askAgainAt: Map<string, number>;
+  /** Steady times until which holders that did not answer are not asked, by node. */
   silentUntil: Map<string, number>;
+  /** True while holders are being asked. */
   isRunning: boolean;
+  /** Steady time until which no holder is asked. */
   backoffUntil: number;
+  /** Steady time at which a holder was last asked. */
   askedAt: number | undefined;
-  /** Steady time for which the last refusal asked its caller back. */
+  /** Steady time at which the client of the last refused request is to retry. */
   lastRetryAt: number;
 }
 
-/** The parts of a limit are not known yet: nobody is let in by it, and told to come back soon. */
-function unknown({ ratePerS, burst }: MeshTenant): QuotaDecision {
+/** Refuses a request with a short retry time, because the parts of the limit are not known yet. */
+function refuseUnknownQuota({ ratePerS, burst }: MeshTenant): QuotaDecision {
   const none = { holders: 0, isHolder: false, askedAgoMs: undefined, dry: 0, silent: 0 };
-  return { isAdmitted: false, retryAfterMs: REST_MS, details: { ratePerS, burst, ...none } };
+  return { isAdmitted: false, retryAfterMs: BACKOFF_MS, details: { ratePerS, burst, ...none } };
 }
 
 const OPEN: QuotaDecision = { isAdmitted: true, refund: () => {} };
@@ -98,46 +111,51 @@
   const { clock, node, zone, windowMs, pool, requestGrant } = context;
   const borrowings = new Map<string, Borrowing>();
 
-  /** Under another limit, what holders said before does not count. */
+  /**
+   * Returns the state for a tenant, reset if the limit has changed since the holders were asked.
+   */
   const borrowingOf = (tenant: MeshTenant): Borrowing => {
     const known = borrowings.get(tenant.name) ?? createBorrowing(tenant);
     borrowings.set(tenant.name, known);
     if (known.ratePerS !== tenant.ratePerS || known.burst !== tenant.burst) {
-      Object.assign(known, freshMemory(tenant));
+      Object.assign(known, initialState(tenant));
     }
     return known;
   };
 
-  /** Later than `GRANT_LIFETIME_MS` a token that comes back could be used in another window. */
-  const admitted = (tenant: string): QuotaDecision => {
+  /**
+   * Admits a request. After `GRANT_LIFETIME_MS` its refund has no effect, because the token could
+   * then be used in another window.
+   */
+  const admitRequest = (tenant: string): QuotaDecision => {
     const grantedAt = clock.now();
-    let isGiven = false;
+    let isRefunded = false;
     const refund = (): void => {
       const now = clock.now();
-      if (!isGiven && now - grantedAt <= GRANT_LIFETIME_MS) {
+      if (!isRefunded && now - grantedAt <= GRANT_LIFETIME_MS) {
         pool.view(tenant)?.localBucket?.refund(now);
       }
-      isGiven = true;
+      isRefunded = true;
     };
     return { isAdmitted: true, refund };
   };
 
-  /** Callers come back one after the other, as fast as this node's share of the limit lets them in. */
-  const refused = (view: QuotaView, borrowing: Borrowing): QuotaDecision => {
+  /** Refuses a request; retry times are spaced by the rate of this node's share of the limit. */
+  const refuseRequest = (view: QuotaView, borrowing: Borrowing): QuotaDecision => {
     const now = clock.now();
     const { tenant, holders, localBucket } = view;
     const ownAt = localBucket ? now + localBucket.refillMs(now) : Number.POSITIVE_INFINITY;
     const othersAt = Math.min(...borrowing.refilledAt.values());
-    // Others are not asked before the rest ends, whatever they have.
+    // Other holders are not asked before the backoff ends, even if they have tokens.
     const borrowAt = Math.max(borrowing.backoffUntil, Number.isFinite(othersAt) ? othersAt : now);
     const first = Math.max(now, Math.min(ownAt, borrowAt));
     const spacingMs = (1_000 * holders.length) / tenant.ratePerS;
-    const returnAt = Math.min(Math.max(first, borrowing.lastRetryAt + spacingMs), now + windowMs);
-    borrowing.lastRetryAt = returnAt;
+    const retryAt = Math.min(Math.max(first, borrowing.lastRetryAt + spacingMs), now + windowMs);
+    borrowing.lastRetryAt = retryAt;
     const isAfter = (until: number): boolean => until > now;
     return {
       isAdmitted: false,
-      retryAfterMs: returnAt - now,
+      retryAfterMs: retryAt - now,
       details: {
         ratePerS: tenant.ratePerS,
         burst: tenant.burst,
@@ -151,7 +169,7 @@
     };
   };
 
-  /** Those of the own zone first, each node in an order of its own. */
+  /** Prefers holders in this node's zone; the order within a zone differs from node to node. */
   const nextHolder = (
     view: QuotaView,
     borrowing: Borrowing,
@@ -162,11 +180,12 @@
     const others = view.holders.filter(
       (holder) => holder.node !== node && isPast(borrowing.silentUntil, holder),
     );
-    const rested = others.filter((holder) => isPast(borrowing.askAgainAt, holder));
-    const near = rested.filter((holder) => holder.zone === zone);
-    // Where all rest, those that have something again: a tenant of few holders has no others.
+    const available = others.filter((holder) => isPast(borrowing.askAgainAt, holder));
+    const near = available.filter((holder) => holder.zone === zone);
+    // If all holders are in backoff, asks those that have a token again: with few holders there are
+    // no others to ask.
     const refilled = others.filter((holder) => isPast(borrowing.refilledAt, holder));
-    const candidates = [near, rested, refilled].find((each) => each.length > 0) ?? [];
+    const candidates = [near, available, refilled].find((each) => each.length > 0) ?? [];
     const [first] = rankNames(
       `${node}/${view.tenant.name}`,
       candidates.map((holder) => holder.node),
@@ -174,6 +193,7 @@
     return candidates.find((holder) => holder.node === first);
   };
 
+  /** Asks one holder for all waiting requests and returns how many were granted. */
   const askOne = async (
     holder: QuotaMember,
     tenant: string,
@@ -185,48 +205,49 @@
     const grant = await requestGrant(holder, tenant, wanted);
     const now = clock.now();
     if (!grant || now - askedAt > GRANT_LIFETIME_MS) {
-      borrowing.silentUntil.set(holder.node, now + SILENT_MS);
+      borrowing.silentUntil.set(holder.node, now + SILENT_HOLDER_BACKOFF_MS);
       return 0;
     }
     if (grant.granted < wanted) {
       borrowing.refilledAt.set(holder.node, now + grant.dryMs);
-      borrowing.askAgainAt.set(holder.node, now + Math.max(grant.dryMs, DRY_MS));
+      borrowing.askAgainAt.set(holder.node, now + Math.max(grant.dryMs, EMPTY_HOLDER_BACKOFF_MS));
     }
-    // Others have come meanwhile, for whom nothing was asked.
+    // More requests may be waiting by now; the holder was asked for `wanted` of them.
     const granted = Math.min(grant.granted, wanted);
     for (const resolve of borrowing.waiting.splice(0, granted)) {
-      resolve(admitted(tenant));
+      resolve(admitRequest(tenant));
     }
     return granted;
   };
 
   const refuseAll = (view: QuotaView, borrowing: Borrowing): void => {
     for (const resolve of borrowing.waiting.splice(0)) {
-      resolve(refused(view, borrowing));
+      resolve(refuseRequest(view, borrowing));
     }
   };
 
-  /** A version has lifted the limit meanwhile. */
-  const openAll = (borrowing: Borrowing): void => {
+  /** Admits all waiting requests, because a new version has removed the limit. */
+  const admitAll = (borrowing: Borrowing): void => {
     for (const resolve of borrowing.waiting.splice(0)) {
       resolve(OPEN);
     }
   };
 
+  /** Asks holders until no request is waiting. */
   const borrow = async (tenant: string, borrowing: Borrowing): Promise<void> => {
     borrowing.isRunning = true;
-    let asked = 0;
+    let askedInVain = 0;
     while (borrowing.waiting.length > 0) {
       const view = pool.view(tenant);
       const holder = view && nextHolder(view, borrowing, clock.now());
       if (!view) {
-        openAll(borrowing);
-      } else if (!holder || asked >= MOST_ASKED) {
-        borrowing.backoffUntil = clock.now() + REST_MS;
+        admitAll(borrowing);
+      } else if (!holder || askedInVain >= MAX_ASKED) {
+        borrowing.backoffUntil = clock.now() + BACKOFF_MS;
         refuseAll(view, borrowing);
       } else {
         const granted = await askOne(holder, tenant, borrowing);
-        asked = granted > 0 ? 0 : asked + 1;
+        askedInVain = granted > 0 ? 0 : askedInVain + 1;
       }
     }
     borrowing.isRunning = false;
@@ -236,15 +257,15 @@
     admit: (tenant) => {
       const view = pool.view(tenant.name);
       if (!view) {
-        return isLimited(tenant) ? unknown(tenant) : OPEN;
+        return isLimited(tenant) ? refuseUnknownQuota(tenant) : OPEN;
       }
       const now = clock.now();
       if (view.localBucket && view.localBucket.take(1, now) > 0) {
-        return admitted(tenant.name);
+        return admitRequest(tenant.name);
       }
       const borrowing = borrowingOf(view.tenant);
       if (now < borrowing.backoffUntil) {
-        return refused(view, borrowing);
+        return refuseRequest(view, borrowing);
       }
       return new Promise((resolve) => {
         borrowing.waiting.push(resolve);
@@ -257,10 +278,10 @@
 }
 
 function createBorrowing(tenant: MeshTenant): Borrowing {
-  return { ...freshMemory(tenant), waiting: [], isRunning: false };
+  return { ...initialState(tenant), waiting: [], isRunning: false };
 }
 
-function freshMemory({ ratePerS, burst }: MeshTenant): Omit<Borrowing, 'waiting' | 'isRunning'> {
+function initialState({ ratePerS, burst }: MeshTenant): Omit<Borrowing, 'waiting' | 'isRunning'> {
   return {
     ratePerS,
     burst,
--- a/src/tenants/quotaParts.ts
+++ b/src/tenants/quotaParts.ts
@@ -1,124 +1,137 @@
 /**
- * How a tenant's limit is cut into parts, and which nodes hold them. All nodes that know the same members
- * name the same holders. The parts together keep the bound whoever uses them, so no node needs to hear
- * another one for that.
+ * Divides a tenant's limit into quota parts and assigns them to nodes. Nodes with the same list of
+ * members compute the same holders. The parts together stay within the bound, whichever requests
+ * use them, so nodes need no communication to guarantee it.
  */
 import { rankNames } from '../model/rendezvous.js';
 import type { MeshTenant } from './tenant.js';
 import type { BucketLimits } from './tokenBucket.js';
 
-/** What the sum of all nodes must keep. */
+/** The guarantee for the sum of a tenant's requests over all nodes. */
 export interface QuotaBounds {
-  /** Every span of this length counts, in milliseconds. */
+  /** Length of the window in milliseconds; the bound holds in every window of this length. */
   readonly windowMs: number;
-  /** Share by which the sum over all nodes may exceed a limit. */
+  /** Share of the limit by which the sum over all nodes may exceed it. */
   readonly overage: number;
-  /** Requests by which it may, besides. */
+  /** Number of requests by which the sum may exceed the limit in addition. */
   readonly slack: number;
 }
 
-/** A node that may hold parts. */
+/** A node that may hold quota parts. */
 export interface QuotaMember {
   readonly node: string;
   readonly zone: string;
 }
 
 /**
- * Longest time, in milliseconds, from a holder's grant until its request is let through, or its token is
- * back: a holder that has not answered by then is not waited for.
+ * Longest time from a holder's grant until the request is admitted or the token refunded, in
+ * milliseconds. Also the timeout of a request to a holder.
  */
 export const GRANT_LIFETIME_MS = 200;
 
 /**
- * Parts beyond the first LEAST_HOLDERS are made only while each holds so many requests: with fewer, two
- * callers that meet at one holder while others are full would find it dry. Also the fewest requests that
- * a tenant's clients are taken to send together.
+ * Smallest depth, in requests, of a part if a quota has more than MIN_HOLDERS parts. With less, two
+ * nodes that ask the same holder could find it empty while others are full. Also the smallest
+ * number of requests that a tenant's clients are assumed to send at the same time.
  */
 const PART_DEPTH = 4;
 
 /**
- * Even a small tenant's parts have so many holders, as long as each has a whole request: one that is silent
- * does not have all refused, and a request can ask each of them.
+ * Smallest number of holders, as long as each has a depth of at least one request. With several
+ * holders, one that does not answer does not cause all requests to be refused, and three are few
+ * enough for one request to ask them all.
  */
-const LEAST_HOLDERS = 3;
+const MIN_HOLDERS = 3;
 
 /**
- * Requests that a tenant sends in this time, in milliseconds, may come together: a pause of its clients, or
- * of the node that they ask, bunches them.
+ * Requests that a tenant sends within this time, in milliseconds, may arrive at the same time,
+ * because a pause of its clients or of the node delays them.
  */
-const TOGETHER_MS = 250;
+const BUNCHING_MS = 250;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** True for a tenant whose requests are limited. */
+/** True if the tenant has a rate limit. */
 export function isLimited(tenant: MeshTenant): boolean {
   return tenant.ratePerS > 0;
 }
 
-/** Most requests that a tenant may send in a window, over all nodes. */
+/** Most requests of a tenant that all nodes together may admit in a window. */
 export function windowBound(tenant: MeshTenant, bounds: QuotaBounds): number {
   return limitOf(tenant, bounds) * (1 + bounds.overage) + bounds.slack;
 }
 
-/** What a tenant is granted in a window. */
+/** Number of requests that the limit of a tenant grants in a window. */
 function limitOf({ ratePerS, burst }: MeshTenant, { windowMs }: QuotaBounds): number {
   return (ratePerS * windowMs) / MILLISECONDS_PER_SECOND + burst;
 }
 
 /**
- * The limit as one bucket that keeps the bound in every window. A tenant may send rate and burst in each
- * window, so its tokens come as fast as that, the burst spread over the window: one that goes on sending
- * all it may is refused nothing. What the bound allows besides, overage and slack, is the depth. What
- * was granted just before a window may run in it. Where that leaves no depth for requests that come
- * together, the spread burst gives way: a tenant below its rate is refused nothing either.
+ * Converts a limit into one token bucket that stays within the bound in every window. A tenant may
+ * use its rate and its burst in each window, so the bucket fills at the rate plus the burst spread
+ * over the window: no request of a tenant that constantly uses its whole limit is refused. The
+ * depth is the rest of the bound, from overage and slack, less the tokens granted just before a
+ * window whose requests run in it. If that depth is too small for requests that arrive at the same
+ * time, the bucket fills more slowly instead, so that no request of a tenant below its rate is
+ * refused either.
  */
 export function quotaLimitsOf(tenant: MeshTenant, bounds: QuotaBounds): BucketLimits {
   const bound = windowBound(tenant, bounds);
   const spanMs = bounds.windowMs + GRANT_LIFETIME_MS;
   const tokensPerMs = limitOf(tenant, bounds) / bounds.windowMs;
   const depth = bound - tokensPerMs * spanMs;
-  const least = leastDepth(tenant, bound, spanMs);
-  return depth >= least
+  const minDepth = minDepthOf(tenant, bound, spanMs);
+  return depth >= minDepth
     ? { tokensPerMs, depth }
-    : { tokensPerMs: bound > least ? (bound - least) / spanMs : tokensPerMs, depth: least };
+    : {
+        tokensPerMs: bound > minDepth ? (bound - minDepth) / spanMs : tokensPerMs,
+        depth: minDepth,
+      };
 }
 
-/** What requests that come together need, as far as the tenant's rate leaves it; one request at the least. */
-function leastDepth({ ratePerS }: MeshTenant, bound: number, spanMs: number): number {
+/**
+ * Depth for requests that arrive at the same time, limited to the part of the bound that the
+ * tenant's rate does not use, and at least one request.
+ */
+function minDepthOf({ ratePerS }: MeshTenant, bound: number, spanMs: number): number {
   const ratePerMs = ratePerS / MILLISECONDS_PER_SECOND;
-  const together = Math.max(PART_DEPTH, ratePerMs * TOGETHER_MS);
+  const together = Math.max(PART_DEPTH, ratePerMs * BUNCHING_MS);
   return Math.max(1, Math.min(together, bound - ratePerMs * spanMs));
 }
 
-/** One of the equal parts of a quota. */
+/** Limits of one of the equal parts of a quota. */
 export function partLimitsOf(quota: BucketLimits, holders: number): BucketLimits {
   return { tokensPerMs: quota.tokensPerMs / holders, depth: quota.depth / holders };
 }
 
 /**
- * The holders of a tenant's parts: as many as leave each part PART_DEPTH requests, LEAST_HOLDERS at the
- * least if each then has one, and at the most all members. Each zone has its share of them, so that one
- * that is cut off has its share of the limit.
+ * Returns the holders of a tenant's parts. Their number is the largest that leaves each part a
+ * depth of PART_DEPTH requests, but at least MIN_HOLDERS if each then has a depth of one request,
+ * and at most the number of members. Each zone has its share of the holders, so that a zone that is
+ * cut off from the others can still use its share of the limit.
  */
 export function holdersOf(
   tenant: string,
   quota: BucketLimits,
   members: readonly QuotaMember[],
 ): readonly QuotaMember[] {
-  const deep = Math.floor(quota.depth / PART_DEPTH);
-  const wanted = Math.max(1, deep, Math.min(LEAST_HOLDERS, Math.floor(quota.depth)));
+  const byDepth = Math.floor(quota.depth / PART_DEPTH);
+  const wanted = Math.max(1, byDepth, Math.min(MIN_HOLDERS, Math.floor(quota.depth)));
   if (wanted >= members.length) {
     return members;
   }
-  const known = ranks.get(members) ?? new Map<string, readonly QuotaMember[]>();
-  ranks.set(members, known);
-  const ranked = known.get(tenant) ?? rankMembers(tenant, members);
-  known.set(tenant, ranked);
+  const byTenant = rankings.get(members) ?? new Map<string, readonly QuotaMember[]>();
+  rankings.set(members, byTenant);
+  const ranked = byTenant.get(tenant) ?? rankMembers(tenant, members);
+  byTenant.set(tenant, ranked);
   return ranked.slice(0, wanted);
 }
 
-/** Ranks that have been worked out, by the list of members and the tenant: versions change, members stay. */
-const ranks = new WeakMap<readonly QuotaMember[], Map<string, readonly QuotaMember[]>>();
+/**
+ * Cache of rankings by list of members and tenant. It is kept across versions of the configuration,
+ * because most of them do not change the members.
+ */
+const rankings = new WeakMap<readonly QuotaMember[], Map<string, readonly QuotaMember[]>>();
 
 function rankMembers(tenant: string, members: readonly QuotaMember[]): readonly QuotaMember[] {
   const ranked = zonesOf(members).flatMap((zone) => {
@@ -126,7 +139,7 @@
     const names = rankNames(tenant, [...byName.keys()]);
     return names.map((name, place) => ({
       member: byName.get(name) as QuotaMember,
-      // Zones take turns by their sizes.
+      // Interleaves the zones in proportion to their sizes.
       turn: (place + 0.5) / zone.length,
     }));
   });
--- a/src/tenants/tenantUsage.test.ts
+++ b/src/tenants/tenantUsage.test.ts
@@ -1,15 +1,15 @@
 import { describe, expect, it } from 'vitest';
 import { createTenantUsageCounter, parseTenantUsage } from './tenantUsage.js';
 
-describe('what tenants have used at a node', () => {
-  it('counts the latest requests, let through and refused, and forgets the rest', () => {
+describe('the tenant usage of a node', () => {
+  it('counts admitted and refused requests of the window, and drops older ones', () => {
     let now = 0;
-    const use = createTenantUsageCounter({ now: () => now });
-    const read = () => parseTenantUsage(use.serialize());
-    use.note('acme', false);
-    use.note('acme', false);
-    use.note('acme', true);
-    use.note('beta', true);
+    const usage = createTenantUsageCounter({ now: () => now });
+    const read = () => parseTenantUsage(usage.serialize());
+    usage.note('acme', false);
+    usage.note('acme', false);
+    usage.note('acme', true);
+    usage.note('beta', true);
     expect(read()).toEqual([
       { name: 'acme', admitted: 2, refused: 1 },
       { name: 'beta', admitted: 0, refused: 1 },
@@ -22,7 +22,7 @@
   });
 
   it.each(['', 'null', '{}', '[{"name":"acme"}]', '[{"name":"acme","admitted":-1,"refused":0}]'])(
-    'takes nothing from a node that says %s',
+    'rejects the invalid answer %s',
     (text) => {
       expect(parseTenantUsage(Buffer.from(text))).toBe(undefined);
     },
--- a/src/tenants/tenantUsage.ts
+++ b/src/tenants/tenantUsage.ts
@@ -1,4 +1,4 @@
-/** What tenants have used of late at one node: for operators, who add it up over the fleet. */
+/** Recent requests of tenants at one node. Operators' commands add the numbers of all nodes up. */
 import * as z from 'zod';
 import type { Clock } from '../model/clock.js';
 import {
@@ -6,23 +6,27 @@
   type SlidingWindowCounter,
 } from '../model/slidingWindowCounter.js';
 
-/** Counted are the requests of this time, in milliseconds: long enough for a tenant of one in a few seconds. */
+/**
+ * Length of the counted window, in milliseconds: long enough to show a tenant that sends one
+ * request every few seconds.
+ */
 export const USAGE_WINDOW_MS = 10_000;
 
-const useSchema = z.object({
+const usageSchema = z.object({
   name: z.string(),
-  /** Ended requests of the window: those that its limit did not refuse, whatever became of them, and those that it did. */
+  /** Ended requests of the window that the tenant's limit did not refuse, whatever their result. */
   admitted: z.number().int().min(0),
+  /** Requests of the window that the tenant's limit refused. */
   refused: z.number().int().min(0),
 });
 
-/** What one tenant has used at one node. */
-export type TenantUsage = z.infer<typeof useSchema>;
+/** Requests of one tenant at one node. */
+export type TenantUsage = z.infer<typeof usageSchema>;
 
 export interface TenantUsageCounter {
-  /** A request of a tenant has ended; `isRefused` if its limit refused it. */
+  /** Counts a request that has ended; `isRefused` if the tenant's limit refused it. */
   note(tenant: string, isRefused: boolean): void;
-  /** As it travels to an operator. */
+  /** Encodes the counts for {@link parseTenantUsage}. */
   serialize(): Buffer;
 }
 
@@ -31,7 +35,10 @@
   readonly refused: SlidingWindowCounter;
 }
 
-/** Keeps one pair of counts for each tenant that has sent a request here: as many as configurations name. */
+/**
+ * Keeps a pair of counters for each tenant that has sent a request to this node. Their number is
+ * limited by the tenants that configurations define.
+ */
 export function createTenantUsageCounter(clock: Clock): TenantUsageCounter {
   const counts = new Map<string, Counts>();
   return {
@@ -45,22 +52,22 @@
     },
     serialize: () => {
       const now = clock.now();
-      const uses = [...counts].map(
+      const usages = [...counts].map(
         ([name, { admitted, refused }]): TenantUsage => ({
           name,
           admitted: admitted.upperBound(now),
           refused: refused.upperBound(now),
         }),
       );
-      return Buffer.from(JSON.stringify(uses));
+      return Buffer.from(JSON.stringify(usages));
     },
   };
 }
 
-/** Undefined if a node has said anything else. */
+/** Decodes a node's usage. Undefined if the bytes are not in the expected form. */
 export function parseTenantUsage(bytes: Buffer): readonly TenantUsage[] | undefined {
   try {
-    return z.array(useSchema).parse(JSON.parse(bytes.toString()));
+    return z.array(usageSchema).parse(JSON.parse(bytes.toString()));
   } catch {
     return undefined;
   }
--- a/src/tenants/tokenBucket.ts
+++ b/src/tenants/tokenBucket.ts
@@ -1,25 +1,25 @@
-/** A token bucket: tokens come at a rate and are kept up to a depth; each lets one request through. */
+/** A token bucket: it fills at a rate up to a depth, and each token admits one request. */
 
-/** What a bucket is filled by. */
+/** The fill rate and depth of a bucket. */
 export interface BucketLimits {
   readonly tokensPerMs: number;
-  /** Most tokens that it keeps. */
+  /** Most tokens that the bucket holds. */
   readonly depth: number;
 }
 
-/** Takes the steady time in milliseconds as an argument. */
+/** The parameter `now` is the steady time in milliseconds. */
 export interface TokenBucket {
-  /** Whole tokens taken, at the most `wanted`. */
+  /** Removes at most `wanted` whole tokens and returns their number. */
   take(wanted: number, now: number): number;
   /** Puts back a token whose request has not run. */
   refund(now: number): void;
-  /** Milliseconds until there is a whole token. */
+  /** Milliseconds until the bucket has a whole token. */
   refillMs(now: number): number;
-  /** Goes on under other limits with what it holds. */
+  /** Changes the limits and keeps the tokens, up to the new depth. */
   setLimits(limits: BucketLimits, now: number): void;
 }
 
-/** Float sums of tokens are off by less than this. */
+/** Upper bound for the rounding error of the floating-point number of tokens. */
 const ROUNDING = 1e-9;
 
 export function createTokenBucket(
