--- a/src/tenants/quotaGate.test.ts
+++ b/src/tenants/quotaGate.test.ts
@@ -108,7 +108,7 @@
     expect(asked.length).toBeLessThanOrEqual(4);
   });
 
-  it('admits no request of a limited tenant whose parts it does not know yet', () => {
+  it('admits no request of a limited tenant whose quota parts are not known yet', () => {
     const stranger = tenantSchema.parse({ name: 'stranger', ratePerS: 1 });
     expect(gate.admit(stranger)).toMatchObject({ isAdmitted: false, details: { holders: 0 } });
   });
--- a/src/tenants/quotaGate.ts
+++ b/src/tenants/quotaGate.ts
@@ -15,7 +15,7 @@
   readonly burst: number;
   /** Number of nodes that hold a part of the quota. */
   readonly holders: number;
-  /** True if this node is one of them. */
+  /** True if this node holds a part of the quota. */
   readonly isHolder: boolean;
   /** Milliseconds since a holder was last asked. Undefined if none ever was. */
   readonly askedAgoMs: number | undefined;
--- a/src/tenants/quotaParts.test.ts
+++ b/src/tenants/quotaParts.test.ts
@@ -24,7 +24,7 @@
 const MEMBERS = Array.from({ length: 20 }, (_, index) => ({ node: `n${index}`, zone: 'a' }));
 
 describe('the holders of a quota', () => {
-  it('are three for a small tenant, so that one silent holder does not refuse all requests', () => {
+  it('are three for a small tenant, so that one silent holder does not stop all requests', () => {
     const small = tenantSchema.parse({ name: 'small', ratePerS: 2, burst: 2 });
     const few = [STEADY, small].map((tenant) => quotaLimitsOf(tenant, NARROW));
     expect(few.map((quota) => holdersOf('small', quota, MEMBERS).length)).toEqual([3, 3]);
