--- a/src/registry/back-end-registry.test.ts
+++ b/src/registry/back-end-registry.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Guards against work for a back end that has drained, and against work withheld from a back end
+ * that has restarted under the same id. Both can happen when heartbeats arrive late or out of
+ * order.
+ */
 import fc from 'fast-check';
 import { describe, expect, it } from 'vitest';
 import { type BackEnd, BackEndRegistry, type Heartbeat } from './back-end-registry.js';
@@ -13,7 +18,7 @@
   bornAt: undefined,
 } as const;
 
-function beat(overrides: Partial<Heartbeat> = {}): Heartbeat {
+function heartbeatOf(overrides: Partial<Heartbeat> = {}): Heartbeat {
   return {
     instance: 'i-1',
     service: 'catalogue',
@@ -31,124 +36,126 @@
 function registryWith(instance = 'i-1') {
   const changes: (BackEnd | undefined)[] = [];
   const registry = new BackEndRegistry((backEnd) => changes.push(backEnd));
-  registry.heartbeat(beat({ instance }), 0);
+  registry.heartbeat(heartbeatOf({ instance }), 0);
   registry.confirmReady({ instance, slots: 4 }, FALLBACK);
   return { registry, changes };
 }
 
 describe('BackEndRegistry', () => {
-  it('gives an unknown incarnation no work before it has said who it is', () => {
+  it('does not use an unknown back end before a health response confirms it', () => {
     const registry = new BackEndRegistry(() => {});
-    expect(registry.heartbeat(beat(), 0)).toBe('unverified');
+    expect(registry.heartbeat(heartbeatOf(), 0)).toBe('unverified');
     expect(registry.current).toBeUndefined();
     registry.confirmReady({ instance: 'i-1', slots: 9 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', slots: 4, state: 'ready' });
   });
 
-  it('knows a back end from its health answer alone after a restart of the node', () => {
+  it('uses a back end after a health response alone, as after a restart of the node', () => {
     const registry = new BackEndRegistry(() => {});
     registry.confirmReady({ instance: 'i-1', slots: 6 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', slots: 6 });
-    expect(registry.heartbeat(beat({ sequence: 0 }), 5)).toBe('applied');
+    expect(registry.heartbeat(heartbeatOf({ sequence: 0 }), 5)).toBe('applied');
   });
 
   it('ignores a late heartbeat of the same incarnation', () => {
     const { registry } = registryWith();
-    registry.heartbeat(beat({ sequence: 7, state: 'draining' }), 10);
-    expect(registry.heartbeat(beat({ sequence: 6 }), 20)).toBe('old');
+    registry.heartbeat(heartbeatOf({ sequence: 7, state: 'draining' }), 10);
+    expect(registry.heartbeat(heartbeatOf({ sequence: 6 }), 20)).toBe('old');
     expect(registry.current?.state).toBe('draining');
   });
 
-  it('keeps an incarnation fenced that deregistered without draining', () => {
+  it('keeps an incarnation draining that deregistered without a drain', () => {
     const { registry } = registryWith();
     registry.deregister({ instance: 'i-1', bornAt: undefined });
     expect(registry.current?.state).toBe('draining');
-    expect(registry.heartbeat(beat({ sequence: 99 }), 20)).toBe('old');
+    expect(registry.heartbeat(heartbeatOf({ sequence: 99 }), 20)).toBe('old');
     registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current?.state).toBe('draining');
   });
 
-  it('never returns to an incarnation that another has followed', () => {
+  it('never returns to a back end that another one has replaced', () => {
     const { registry } = registryWith('i-1');
-    registry.heartbeat(beat({ instance: 'i-2', sequence: 1 }), 10);
+    registry.heartbeat(heartbeatOf({ instance: 'i-2', sequence: 1 }), 10);
     registry.confirmReady({ instance: 'i-2', slots: 4 }, FALLBACK);
-    registry.heartbeat(beat({ instance: 'i-1', sequence: 50 }), 20);
+    registry.heartbeat(heartbeatOf({ instance: 'i-1', sequence: 50 }), 20);
     registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current?.instance).toBe('i-2');
   });
 
-  it('does not take a drain of another incarnation for its own', () => {
+  it('ignores the drain of another back end', () => {
     const { registry } = registryWith('i-2');
-    registry.heartbeat(beat({ instance: 'i-1', state: 'draining', sequence: 3 }), 10);
+    registry.heartbeat(heartbeatOf({ instance: 'i-1', state: 'draining', sequence: 3 }), 10);
     registry.deregister({ instance: 'i-1', bornAt: undefined });
     expect(registry.current).toMatchObject({ instance: 'i-2', state: 'ready' });
   });
 
-  it('serves a back end that has drained and starts again under its id', () => {
+  it('uses a back end that has drained and restarted under its id', () => {
     const { registry, changes } = registryWith();
-    registry.heartbeat(beat({ bornAt: 100, sequence: 8 }), 10);
-    registry.heartbeat(beat({ bornAt: 100, sequence: 9, state: 'draining' }), 20);
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 8 }), 10);
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 9, state: 'draining' }), 20);
     registry.deregister({ instance: 'i-1', bornAt: 100 });
-    expect(registry.heartbeat(beat({ bornAt: 200, sequence: 1 }), 30)).toBe('applied');
+    expect(registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 1 }), 30)).toBe('applied');
     expect(registry.current).toMatchObject({ state: 'ready', bornAt: 200, sequence: 1 });
     expect(changes.at(-1)).toEqual(registry.current);
   });
 
-  it('counts the heartbeats of each life anew, and tells that it is another one', () => {
-    const lives: boolean[] = [];
-    const registry = new BackEndRegistry((_backEnd, isNewLife) => lives.push(isNewLife));
-    registry.heartbeat(beat({ bornAt: 100, sequence: 50 }), 0);
+  it('accepts sequence numbers that start again, and reports the new incarnation', () => {
+    const newIncarnationFlags: boolean[] = [];
+    const registry = new BackEndRegistry((_backEnd, isNewIncarnation) =>
+      newIncarnationFlags.push(isNewIncarnation),
+    );
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 50 }), 0);
     registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
-    registry.heartbeat(beat({ bornAt: 200, sequence: 1 }), 10);
-    expect(registry.heartbeat(beat({ bornAt: 200, sequence: 2 }), 20)).toBe('applied');
+    registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 1 }), 10);
+    expect(registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 2 }), 20)).toBe('applied');
     expect(registry.current).toMatchObject({ bornAt: 200, sequence: 2 });
-    expect(lives).toEqual([true, true]);
+    expect(newIncarnationFlags).toEqual([true, true]);
   });
 
-  it('takes nothing late of a life that has ended, neither its state nor its leave', () => {
+  it('ignores late heartbeats and deregistrations of an ended incarnation', () => {
     const { registry } = registryWith();
-    registry.heartbeat(beat({ bornAt: 100, sequence: 8 }), 10);
-    registry.heartbeat(beat({ bornAt: 200, sequence: 1 }), 20);
-    const late = beat({ bornAt: 100, sequence: 9, state: 'draining', slots: 1 });
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 8 }), 10);
+    registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 1 }), 20);
+    const late = heartbeatOf({ bornAt: 100, sequence: 9, state: 'draining', slots: 1 });
     expect(registry.heartbeat(late, 30)).toBe('old');
     registry.deregister({ instance: 'i-1', bornAt: 100 });
     expect(registry.current).toMatchObject({ state: 'ready', bornAt: 200, slots: 4 });
   });
 
-  it('takes the birth of a back end that it knew from its health answer alone', () => {
+  it('accepts the start time of a back end known from a health response alone', () => {
     const registry = new BackEndRegistry(() => {});
     registry.confirmReady({ instance: 'i-1', slots: 6 }, FALLBACK);
-    registry.heartbeat(beat({ bornAt: 200, sequence: 3 }), 0);
-    expect(registry.heartbeat(beat({ bornAt: 100, sequence: 9, state: 'draining' }), 5)).toBe(
-      'old',
-    );
+    registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 3 }), 0);
+    expect(
+      registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 9, state: 'draining' }), 5),
+    ).toBe('old');
     expect(registry.current).toMatchObject({ state: 'ready', bornAt: 200, sequence: 3 });
   });
 
-  it('follows a back end that starts again at another address, or comes back after another one', () => {
+  it('follows a back end that restarts at another address or after another back end', () => {
     const { registry } = registryWith();
-    registry.heartbeat(beat({ bornAt: 100, sequence: 8 }), 10);
-    registry.heartbeat(beat({ bornAt: 200, sequence: 1, address: '127.0.0.1:2' }), 20);
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 8 }), 10);
+    registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 1, address: '127.0.0.1:2' }), 20);
     expect(registry.current).toMatchObject({ address: '127.0.0.1:2', bornAt: 200 });
-    registry.heartbeat(beat({ instance: 'i-2', bornAt: 50 }), 30);
+    registry.heartbeat(heartbeatOf({ instance: 'i-2', bornAt: 50 }), 30);
     registry.confirmReady({ instance: 'i-2', slots: 4 }, FALLBACK);
-    expect(registry.heartbeat(beat({ bornAt: 200, sequence: 9 }), 40)).toBe('old');
-    expect(registry.heartbeat(beat({ bornAt: 300, sequence: 1 }), 50)).toBe('unverified');
+    expect(registry.heartbeat(heartbeatOf({ bornAt: 200, sequence: 9 }), 40)).toBe('old');
+    expect(registry.heartbeat(heartbeatOf({ bornAt: 300, sequence: 1 }), 50)).toBe('unverified');
     registry.confirmReady({ instance: 'i-1', slots: 4 }, FALLBACK);
     expect(registry.current).toMatchObject({ instance: 'i-1', bornAt: 300 });
   });
 
-  it('binds the life that is known to a leave that does not tell its birth', () => {
+  it('applies a deregistration without a start time to the known incarnation', () => {
     const { registry } = registryWith();
-    registry.heartbeat(beat({ bornAt: 100, sequence: 8 }), 10);
+    registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 8 }), 10);
     registry.deregister({ instance: 'i-1', bornAt: undefined });
-    expect(registry.heartbeat(beat({ bornAt: 100, sequence: 9 }), 20)).toBe('old');
+    expect(registry.heartbeat(heartbeatOf({ bornAt: 100, sequence: 9 }), 20)).toBe('old');
     expect(registry.current?.state).toBe('draining');
-    registry.heartbeat(beat({ bornAt: 101, sequence: 1 }), 30);
+    registry.heartbeat(heartbeatOf({ bornAt: 101, sequence: 1 }), 30);
     expect(registry.current?.state).toBe('ready');
   });
 
-  it('never makes a life ready that has left, nor holds a later one off, in any order of events', () => {
+  it('never makes an ended incarnation ready, or blocks a later one, in any order', () => {
     const event = fc.record({
       kind: fc.constantFrom('ready', 'draining', 'deregister', 'verified'),
       instance: fc.constantFrom('i-1', 'i-2'),
@@ -158,27 +165,30 @@
     fc.assert(
       fc.property(fc.array(event, { maxLength: 30 }), (events) => {
         const registry = new BackEndRegistry(() => {});
-        const left = new Set<string>();
+        const ended = new Set<string>();
         for (const { kind, instance, bornAt, sequence } of events) {
           if (kind === 'verified') {
             registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           } else if (kind === 'deregister') {
             registry.deregister({ instance, bornAt });
-            left.add(incarnationName({ instance, bornAt }));
+            ended.add(incarnationName({ instance, bornAt }));
           } else {
             const state = kind === 'draining' ? 'draining' : 'ready';
-            const result = registry.heartbeat(beat({ instance, bornAt, sequence, state }), 0);
+            const result = registry.heartbeat(
+              heartbeatOf({ instance, bornAt, sequence, state }),
+              0,
+            );
             if (state === 'draining' && result === 'applied') {
-              left.add(incarnationName({ instance, bornAt }));
+              ended.add(incarnationName({ instance, bornAt }));
             }
           }
           const { current } = registry;
-          if (current && left.has(incarnationName(current))) {
+          if (current && ended.has(incarnationName(current))) {
             expect(current.state).toBe('draining');
           }
         }
         for (const instance of ['i-1', 'i-2']) {
-          registry.heartbeat(beat({ instance, bornAt: 4, sequence: 1 }), 0);
+          registry.heartbeat(heartbeatOf({ instance, bornAt: 4, sequence: 1 }), 0);
           registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           expect(registry.current).toMatchObject({ instance, bornAt: 4, state: 'ready' });
         }
@@ -187,7 +197,7 @@
     );
   });
 
-  it('never makes a fenced incarnation ready again, in any order of events', () => {
+  it('never makes a draining back end ready without start times, in any order', () => {
     const event = fc.record({
       kind: fc.constantFrom('ready', 'draining', 'deregister', 'verified'),
       instance: fc.constantFrom('i-1', 'i-2', 'i-3'),
@@ -196,23 +206,23 @@
     fc.assert(
       fc.property(fc.array(event, { maxLength: 30 }), (events) => {
         const registry = new BackEndRegistry(() => {});
-        const fenced = new Set<string>();
+        const ended = new Set<string>();
         for (const { kind, instance, sequence } of events) {
           const wasCurrent = registry.current?.instance === instance;
           if (kind === 'deregister') {
             registry.deregister({ instance, bornAt: undefined });
-            fenced.add(instance);
+            ended.add(instance);
           } else if (kind === 'verified') {
             registry.confirmReady({ instance, slots: 2 }, FALLBACK);
           } else {
             const state = kind === 'draining' ? 'draining' : 'ready';
-            const result = registry.heartbeat(beat({ instance, sequence, state }), 0);
+            const result = registry.heartbeat(heartbeatOf({ instance, sequence, state }), 0);
             if (state === 'draining' && (result === 'applied' || !wasCurrent)) {
-              fenced.add(instance);
+              ended.add(instance);
             }
           }
           const current = registry.current;
-          if (current && fenced.has(current.instance)) {
+          if (current && ended.has(current.instance)) {
             expect(current.state).toBe('draining');
           }
         }
--- a/src/registry/back-end-registry.ts
+++ b/src/registry/back-end-registry.ts
@@ -1,8 +1,8 @@
 /**
- * What this node believes of the back end on its machine, from heartbeats,
- * deregistrations and health answers. A drain that was acknowledged binds: a
- * life that is leaving never becomes ready again, however late and in whatever
- * order its heartbeats arrive. A later life under the same id is not bound.
+ * Tracks the state of the back end on this node's machine from heartbeats,
+ * deregistrations and health responses. An acknowledged drain is final: an
+ * incarnation that is draining never becomes ready again, even if its heartbeats
+ * arrive late or out of order. A later incarnation under the same id can.
  */
 import {
   type BackEndIncarnation,
@@ -11,139 +11,158 @@
 } from './backEndIncarnation.js';
 import { createEndedIncarnations } from './endedIncarnations.js';
 
-/** A heartbeat as a back end sends it; its life is the present one. */
+/** A heartbeat as a back end sends it, from its current incarnation. */
 export interface Heartbeat extends BackEndIncarnation {
   readonly service: string;
   readonly address: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** Milliseconds for which the back end is still slow from its start. */
+  /** Milliseconds for which the back end will still be slow because it has just started. */
   readonly coldRemainingMs: number;
-  /** Rises with each call of the same life, and starts anew in the next. */
+  /** Increases with each message of an incarnation and starts again in the next one. */
   readonly sequence: number;
-  /** Version of its software; undefined when it tells none. */
+  /** Version of the back end's software. Undefined if the heartbeat has none. */
   readonly version: string | undefined;
 }
 
-/** The back end that the node may send work to, or that is leaving. */
+/** The back end that the node may send work to, or that is draining. */
 export interface BackEnd extends BackEndIncarnation {
   readonly service: string;
   readonly address: string;
   readonly slots: number;
   readonly state: 'ready' | 'draining';
-  /** Steady time in milliseconds until which the back end is slow. */
+  /** Steady time until which the back end is slow after its start, in milliseconds. */
   readonly coldUntil: number;
+  /** Sequence number of the last heartbeat. */
   readonly sequence: number;
-  /** Version of its software; undefined until a heartbeat has told it. */
+  /** Version of the back end's software. Undefined until a heartbeat contains one. */
   readonly version: string | undefined;
 }
 
-/** An answer to a health question that says "ready". */
+/** A back end's response to a health probe, with the result "ready". */
 export interface HealthReport {
   readonly instance: string;
-  /** Undefined when the back end does not tell its load. */
+  /** Undefined if the response does not contain the back end's load. */
   readonly slots: number | undefined;
 }
 
-/** What a heartbeat led to. */
+/**
+ * The result of a heartbeat. `old`: ignored, because it is late or from an ended incarnation.
+ * `unverified`: from an unknown back end, whose health has to be probed first.
+ */
 export type HeartbeatResult = 'applied' | 'old' | 'unverified';
 
-/** Hears of every change of the back end that may get work; `isNewLife` if it is another life than before. */
-export type BackEndListener = (backEnd: BackEnd, isNewLife: boolean) => void;
+/**
+ * Called on each change of the current back end. `isNewIncarnation` is true if it is a different
+ * incarnation than before.
+ */
+export type BackEndListener = (backEnd: BackEnd, isNewIncarnation: boolean) => void;
 
-/** Owned by the local owner; takes events, holds no sockets. */
+/** Used by the local owner. It processes events and opens no connections. */
 export class BackEndRegistry {
   private backEnd: BackEnd | undefined;
-  private pending: { beat: Heartbeat; at: number } | undefined;
+  private pending: { heartbeat: Heartbeat; at: number } | undefined;
   private readonly ended = createEndedIncarnations();
 
   constructor(private readonly onChange: BackEndListener) {}
 
+  /** The current back end. Undefined until one is confirmed. */
   get current(): BackEnd | undefined {
     return this.backEnd;
   }
 
-  /** The life that waits for its health answer, if there is one. */
+  /** The heartbeat of a back end that awaits confirmation by a health response, if any. */
   get pendingHeartbeat(): Heartbeat | undefined {
-    return this.pending?.beat;
+    return this.pending?.heartbeat;
   }
 
-  /** Takes a heartbeat. One of an unknown id waits for {@link confirmReady}. */
-  heartbeat(beat: Heartbeat, now: number): HeartbeatResult {
-    if (this.ended.has(beat)) {
+  /** Processes a heartbeat. A heartbeat with an unknown id waits for {@link confirmReady}. */
+  heartbeat(heartbeat: Heartbeat, now: number): HeartbeatResult {
+    if (this.ended.has(heartbeat)) {
       return 'old';
     }
-    if (beat.instance === this.backEnd?.instance) {
-      return this.takeOwn(this.backEnd, beat, now);
+    if (heartbeat.instance === this.backEnd?.instance) {
+      return this.applyToCurrent(this.backEnd, heartbeat, now);
     }
-    if (beat.state === 'draining') {
-      this.ended.add(beat);
+    if (heartbeat.state === 'draining') {
+      this.ended.add(heartbeat);
       return 'applied';
     }
-    if (this.pending && !isNewer(beat, this.pending.beat)) {
+    if (this.pending && !isNewer(heartbeat, this.pending.heartbeat)) {
       return 'old';
     }
-    this.pending = { beat, at: now };
+    this.pending = { heartbeat, at: now };
     return 'unverified';
   }
 
-  /** A life says that it leaves for good. */
-  deregister(life: BackEndIncarnation): void {
-    const leaving = { ...life, bornAt: life.bornAt ?? this.knownBirth(life.instance) };
+  /** An incarnation has deregistered: it accepts no more work. */
+  deregister(incarnation: BackEndIncarnation): void {
+    const leaving = {
+      ...incarnation,
+      bornAt: incarnation.bornAt ?? this.knownStart(incarnation.instance),
+    };
     this.ended.add(leaving);
-    if (this.pending && this.ended.has(this.pending.beat)) {
+    if (this.pending && this.ended.has(this.pending.heartbeat)) {
       this.pending = undefined;
     }
-    if (this.backEnd?.instance === life.instance && !isLaterIncarnation(this.backEnd, leaving)) {
+    if (
+      this.backEnd?.instance === incarnation.instance &&
+      !isLaterIncarnation(this.backEnd, leaving)
+    ) {
       const bornAt = this.backEnd.bornAt ?? leaving.bornAt;
       this.change({ ...this.backEnd, bornAt, state: 'draining' });
     }
   }
 
   /**
-   * A back end said itself which it is, and that it is ready.
-   * `fallback` describes it when no heartbeat of it has been heard yet.
+   * A health response of the back end contained its id and the result "ready".
+   * `fallback` describes the back end if it has not sent a heartbeat yet.
    */
   confirmReady(report: HealthReport, fallback: Omit<BackEnd, 'instance' | 'slots'>): void {
     const { instance } = report;
     if (this.backEnd?.instance === instance) {
       return;
     }
-    const pending = this.pending?.beat.instance === instance ? this.pending : undefined;
-    const slots = pending?.beat.slots ?? report.slots;
-    const life = pending?.beat ?? { instance, bornAt: fallback.bornAt };
-    if (slots === undefined || this.ended.has(life)) {
+    const pending = this.pending?.heartbeat.instance === instance ? this.pending : undefined;
+    const slots = pending?.heartbeat.slots ?? report.slots;
+    const incarnation = pending?.heartbeat ?? { instance, bornAt: fallback.bornAt };
+    if (slots === undefined || this.ended.has(incarnation)) {
       return;
     }
     if (this.backEnd) {
       this.ended.add(this.backEnd);
     }
     this.pending = undefined;
-    const next = pending ? backEndOf(pending.beat, pending.at) : { ...fallback, instance, slots };
+    const next = pending
+      ? backEndOf(pending.heartbeat, pending.at)
+      : { ...fallback, instance, slots };
     this.change(next, true);
   }
 
-  /** A heartbeat under the id of the known back end: of the known life, or of a later or earlier one. */
-  private takeOwn(known: BackEnd, beat: Heartbeat, now: number): HeartbeatResult {
-    if (isLaterIncarnation(known, beat)) {
+  /**
+   * Processes a heartbeat with the id of the current back end. It may come from the current
+   * incarnation or from an earlier or later one.
+   */
+  private applyToCurrent(known: BackEnd, heartbeat: Heartbeat, now: number): HeartbeatResult {
+    if (isLaterIncarnation(known, heartbeat)) {
       return 'old';
     }
-    if (!isLaterIncarnation(beat, known)) {
-      return this.update(known, beat, now);
+    if (!isLaterIncarnation(heartbeat, known)) {
+      return this.update(known, heartbeat, now);
     }
-    // Its birth proves that the known life has ended; no health answer could prove more.
-    this.ended.add(beat.state === 'draining' ? beat : known);
-    this.change(backEndOf(beat, now), true);
+    // The later start proves that the known incarnation has ended, so no health probe is needed.
+    this.ended.add(heartbeat.state === 'draining' ? heartbeat : known);
+    this.change(backEndOf(heartbeat, now), true);
     return 'applied';
   }
 
-  private update(known: BackEnd, beat: Heartbeat, now: number): HeartbeatResult {
-    if (beat.sequence <= known.sequence) {
+  private update(known: BackEnd, heartbeat: Heartbeat, now: number): HeartbeatResult {
+    if (heartbeat.sequence <= known.sequence) {
       return 'old';
     }
-    const state = known.state === 'draining' ? 'draining' : beat.state;
-    const bornAt = beat.bornAt ?? known.bornAt;
-    const next = { ...backEndOf(beat, now), state, bornAt };
+    const state = known.state === 'draining' ? 'draining' : heartbeat.state;
+    const bornAt = heartbeat.bornAt ?? known.bornAt;
+    const next = { ...backEndOf(heartbeat, now), state, bornAt };
     if (state === 'draining') {
       this.ended.add(next);
     }
@@ -156,33 +175,35 @@
     return 'applied';
   }
 
-  private knownBirth(instance: string): number | undefined {
-    const known = [this.backEnd, this.pending?.beat].find((life) => life?.instance === instance);
+  private knownStart(instance: string): number | undefined {
+    const known = [this.backEnd, this.pending?.heartbeat].find(
+      (incarnation) => incarnation?.instance === instance,
+    );
     return known?.bornAt;
   }
 
-  private change(backEnd: BackEnd, isNewLife = false): void {
+  private change(backEnd: BackEnd, isNewIncarnation = false): void {
     this.backEnd = backEnd;
-    this.onChange(backEnd, isNewLife);
+    this.onChange(backEnd, isNewIncarnation);
   }
 }
 
-function isNewer(beat: Heartbeat, than: Heartbeat): boolean {
-  return isSameIncarnation(beat, than)
-    ? beat.sequence > than.sequence
-    : !isLaterIncarnation(than, beat);
+function isNewer(heartbeat: Heartbeat, than: Heartbeat): boolean {
+  return isSameIncarnation(heartbeat, than)
+    ? heartbeat.sequence > than.sequence
+    : !isLaterIncarnation(than, heartbeat);
 }
 
-function backEndOf(beat: Heartbeat, now: number): BackEnd {
+function backEndOf(heartbeat: Heartbeat, now: number): BackEnd {
   return {
-    instance: beat.instance,
-    service: beat.service,
-    address: beat.address,
-    slots: beat.slots,
-    state: beat.state,
-    coldUntil: now + beat.coldRemainingMs,
-    sequence: beat.sequence,
-    version: beat.version,
-    bornAt: beat.bornAt,
+    instance: heartbeat.instance,
+    service: heartbeat.service,
+    address: heartbeat.address,
+    slots: heartbeat.slots,
+    state: heartbeat.state,
+    coldUntil: now + heartbeat.coldRemainingMs,
+    sequence: heartbeat.sequence,
+    version: heartbeat.version,
+    bornAt: heartbeat.bornAt,
   };
 }
--- a/src/registry/endedIncarnations.ts
+++ b/src/registry/endedIncarnations.ts
@@ -1,34 +1,37 @@
-/** Which lives of back ends have ended, or are about to: they get no more work, whatever comes late of them. */
+/**
+ * Records which incarnations of back ends have ended or are draining. They receive no more work,
+ * even if late heartbeats of them arrive.
+ */
 import type { BackEndIncarnation } from './backEndIncarnation.js';
 
-/** Back ends of which ended lives are remembered, the latest. */
-const MAX_REMEMBERED = 256;
+/** Most back ends whose ended incarnations are kept; the oldest entries are dropped first. */
+const MAX_BACK_ENDS = 256;
 
 export interface EndedIncarnations {
-  /** This life, and all before it of the same back end, have ended. */
-  add(life: BackEndIncarnation): void;
-  /** True if the life is known to have ended. One that began later under the same id has not. */
-  has(life: BackEndIncarnation): boolean;
+  /** Records that this incarnation and all earlier ones of the same back end have ended. */
+  add(incarnation: BackEndIncarnation): void;
+  /** True if the incarnation is known to have ended. A later one under the same id has not. */
+  has(incarnation: BackEndIncarnation): boolean;
 }
 
 export function createEndedIncarnations(): EndedIncarnations {
-  /** The latest birth that has ended, by id; undefined while none was told. */
-  const births = new Map<string, number | undefined>();
+  /** Start of the latest ended incarnation by back end id. Undefined if no start was reported. */
+  const latestStarts = new Map<string, number | undefined>();
   return {
     add: ({ instance, bornAt }) => {
-      const known = births.get(instance);
+      const known = latestStarts.get(instance);
       const latest = bornAt === undefined ? known : Math.max(bornAt, known ?? bornAt);
-      // Put in anew, so that the oldest are forgotten first.
-      births.delete(instance);
-      births.set(instance, latest);
-      const [oldest] = births.keys();
-      if (births.size > MAX_REMEMBERED && oldest !== undefined) {
-        births.delete(oldest);
+      // Moves the entry to the end, so that the oldest entries are dropped first.
+      latestStarts.delete(instance);
+      latestStarts.set(instance, latest);
+      const [oldest] = latestStarts.keys();
+      if (latestStarts.size > MAX_BACK_ENDS && oldest !== undefined) {
+        latestStarts.delete(oldest);
       }
     },
     has: ({ instance, bornAt }) => {
-      const latest = births.get(instance);
-      return births.has(instance) && (bornAt === undefined || (latest ?? -1) >= bornAt);
+      const latest = latestStarts.get(instance);
+      return latestStarts.has(instance) && (bornAt === undefined || (latest ?? -1) >= bornAt);
     },
   };
 }
