--- a/src/policy/placement-policy.test.ts
+++ b/src/policy/placement-policy.test.ts
@@ -16,7 +16,7 @@
   ['request.tenant == "acme" || endpoint.zone == "z1"', true],
   ['request.tenant in ["beta", ""]', false],
   ['endpoint.labels["absent"] == "yes"', false],
-])('%s gives %s', (program, expected) => {
+])('%s evaluates to %s', (program, expected) => {
   const policy = compilePolicy('p', program).unsafeCoerce();
   expect(policy.allows(context)).toBe(expected);
 });
@@ -27,6 +27,6 @@
   ['endpoint.zone', 'policy-type'],
   ['request.path.matches("(a+)+$")', 'policy-cost'],
   [`true${' && true'.repeat(300)}`, 'policy-cost'],
-])('refuses %s as %s', (program, code) => {
+])('rejects %s with code %s', (program, code) => {
   expect(compilePolicy('p', program).extract()).toMatchObject({ code });
 });
--- a/src/policy/placement-policy.ts
+++ b/src/policy/placement-policy.ts
@@ -1,22 +1,24 @@
 /**
- * Placement policies: short CEL programs that say which endpoints may serve a
+ * Placement policies: short CEL programs that decide which endpoints may serve a
  * request (brief, "The product"). A program is compiled once per configuration
  * version. An evaluation error counts as "not allowed".
  */
 import { Environment, type ParseResult } from '@marcbachmann/cel-js';
 import { type Either, Left, Right } from 'purify-ts';
 
-/** What a policy sees of a request, after normalisation. */
+/** The request as policies see it, after normalisation. */
 export interface PolicyRequest {
   readonly method: string;
   readonly path: string;
   /** Header names in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Name of the tenant whose key it carries; empty for calls, public routes and without tenants. */
+  /**
+   * Name of the request's tenant; empty for calls, for public routes and if there are no tenants.
+   */
   readonly tenant: string;
 }
 
-/** What a policy sees of the matched route. */
+/** The matched route as policies see it. */
 export interface PolicyRoute {
   readonly name: string;
   readonly service: string;
@@ -24,14 +26,14 @@
   readonly kind: string;
 }
 
-/** What a policy sees of a machine: the deciding node, or a candidate endpoint. */
+/** A machine as policies see it: the node that decides, or a candidate endpoint. */
 export interface PolicyLocality {
   readonly zone: string;
   readonly region: string;
   readonly labels: Readonly<Record<string, string>>;
 }
 
-/** Everything one evaluation reads. */
+/** The input of one evaluation. */
 export interface PolicyContext {
   readonly request: PolicyRequest;
   readonly route: PolicyRoute;
@@ -42,23 +44,25 @@
 /** A policy that passed its checks. */
 export interface CompiledPolicy {
   readonly name: string;
-  /** True when the endpoint may serve the request. */
+  /** True if the endpoint may serve the request. */
   allows(context: PolicyContext): boolean;
 }
 
-/** Why a program was refused. */
+/** The reason why a program is rejected. */
 export interface PolicyError {
   readonly code: 'policy-syntax' | 'policy-type' | 'policy-cost';
   readonly message: string;
 }
 
-/** Structural limits: they bound what one evaluation can cost. */
+/** Limits on the structure of a program, which limit the cost of one evaluation. */
 const MAX_AST_NODES = 200;
 const MAX_DEPTH = 24;
 const MAX_LIST_ELEMENTS = 100;
 
-/** Functions whose cost depends on their arguments; a pattern can take exponential time. */
-const REFUSED_FUNCTIONS = /\.\s*matches\s*\(|\bmatches\s*\(/;
+/**
+ * Functions whose cost depends on their arguments: a regular expression can take exponential time.
+ */
+const FORBIDDEN_FUNCTIONS = /\.\s*matches\s*\(|\bmatches\s*\(/;
 
 const localitySchema = { zone: 'string', region: 'string', labels: 'map<string, string>' };
 
@@ -78,8 +82,11 @@
 
 /** Checks syntax, type and cost of a program and prepares it for evaluation. */
 export function compilePolicy(name: string, program: string): Either<PolicyError, CompiledPolicy> {
-  if (REFUSED_FUNCTIONS.test(withoutStrings(program))) {
-    return Left({ code: 'policy-cost', message: 'matches() is refused: its cost has no bound' });
+  if (FORBIDDEN_FUNCTIONS.test(withoutStrings(program))) {
+    return Left({
+      code: 'policy-cost',
+      message: 'matches() is not allowed because its cost is unbounded',
+    });
   }
   let parsed: ParseResult;
   try {
@@ -94,7 +101,7 @@
   if (checked.type !== 'bool') {
     return Left({
       code: 'policy-type',
-      message: `the program gives ${checked.type}, expected bool`,
+      message: `the program returns ${checked.type}, expected bool`,
     });
   }
   return Right({ name, allows: (context) => evaluate(parsed, context) });
@@ -110,8 +117,8 @@
 
 function parseFailure(error: unknown): PolicyError {
   const message = firstLine(error);
-  const tooLarge = /limit|exceed/i.test(message);
-  return { code: tooLarge ? 'policy-cost' : 'policy-syntax', message };
+  const isTooLarge = /limit|exceed/i.test(message);
+  return { code: isTooLarge ? 'policy-cost' : 'policy-syntax', message };
 }
 
 function firstLine(error: unknown): string {
@@ -119,7 +126,7 @@
   return text.split('\n')[0] ?? text;
 }
 
-/** Blanks string literals, so that a literal that mentions a function is not taken for a call. */
+/** Empties string literals, so that a function name inside a literal is not treated as a call. */
 function withoutStrings(program: string): string {
   return program.replace(/"(?:[^"\\]|\\.)*"|'(?:[^'\\]|\\.)*'/g, '""');
 }
--- a/src/policy/request-normalizer.test.ts
+++ b/src/policy/request-normalizer.test.ts
@@ -15,11 +15,11 @@
   expect(normalizePath(raw).extract()).toBe(expected);
 });
 
-test.each(['a', '*', '/a%2fb', '/a%5Cb', '/a\\b', '/a%00', '/a%', '/a%zz'])('refuses %s', (raw) => {
+test.each(['a', '*', '/a%2fb', '/a%5Cb', '/a\\b', '/a%00', '/a%', '/a%zz'])('rejects %s', (raw) => {
   expect(normalizePath(raw).isLeft()).toBe(true);
 });
 
-test('a normal path is its own normal form', () => {
+test('normalising a normalised path does not change it', () => {
   const segment = fc.stringMatching(/^[A-Za-z0-9.%_~/-]{0,12}$/);
   fc.assert(
     fc.property(segment, (text) => {
--- a/src/policy/request-normalizer.ts
+++ b/src/policy/request-normalizer.ts
@@ -1,30 +1,30 @@
 /**
  * Normalises a request once, before matching, so that an encoded path cannot
- * slip past a route or a placement policy (RFC 3986, section 6.2.2). The back
- * end receives the normalised path: both sides read the same one.
+ * bypass a route or a placement policy (RFC 3986, section 6.2.2). The back end
+ * receives the normalised path, so that it interprets the same path.
  */
 import type { IncomingMessage } from 'node:http';
 import { type Either, Left, Right } from 'purify-ts';
 import type { PolicyRequest } from './placement-policy.js';
 
-/** A request in the only form that matching and policies see. */
+/** A normalised request, the only form that route matching and policies receive. */
 export interface NormalizedRequest extends Omit<PolicyRequest, 'tenant'> {
-  /** Query with its question mark, unchanged; empty when there is none. */
+  /** The unchanged query with its question mark; empty if there is none. */
   readonly query: string;
 }
 
 /** Characters that need no encoding (RFC 3986, section 2.3). */
 const UNRESERVED = /[A-Za-z0-9\-._~]/;
 
-/** Encoded forms of `/`, `\` and NUL: different readers take them for different paths. */
+/** Encoded forms of `/`, `\` and NUL, which programs decode to different paths. */
 const AMBIGUOUS_ENCODING = /%(2f|5c|00)/i;
 
 const ENCODED_OCTET = /%([0-9A-Fa-f]{2})/g;
 
-/** What is read of a request. */
+/** The fields of a request that normalisation uses. */
 export type RequestHead = Pick<IncomingMessage, 'url' | 'method' | 'headers'>;
 
-/** Returns the normal form, or the reason why the request has none. */
+/** Returns the normalised request, or the reason why it cannot be normalised. */
 export function normalizeRequest(request: RequestHead): Either<string, NormalizedRequest> {
   const target = request.url ?? '';
   const split = target.indexOf('?');
@@ -38,16 +38,19 @@
   }));
 }
 
-/** Decodes what needs no encoding and resolves dot segments; refuses what readers disagree on. */
+/**
+ * Decodes octets that need no encoding and resolves dot segments. Rejects paths that programs
+ * interpret differently.
+ */
 export function normalizePath(rawPath: string): Either<string, string> {
   if (!rawPath.startsWith('/')) {
     return Left('the target is not a path');
   }
   if (/%(?![0-9A-Fa-f]{2})/.test(rawPath)) {
-    return Left('the path has an incomplete percent encoding');
+    return Left('the path has an invalid percent encoding');
   }
   if (AMBIGUOUS_ENCODING.test(rawPath) || rawPath.includes('\\')) {
-    return Left('the path has an ambiguous separator');
+    return Left('the path contains an ambiguous character');
   }
   const decoded = rawPath.replace(ENCODED_OCTET, (octet, digits: string) => {
     const character = String.fromCharCode(Number.parseInt(digits, 16));
@@ -56,7 +59,7 @@
   return Right(resolveSegments(decoded));
 }
 
-/** Removes empty and `.` segments and resolves `..` without leaving the root. */
+/** Removes empty and `.` segments and resolves `..`, which has no effect at the root. */
 function resolveSegments(path: string): string {
   const kept: string[] = [];
   const segments = path.split('/').slice(1);
@@ -72,6 +75,7 @@
   return `/${kept.join('/')}${endsWithSlash ? '/' : ''}`;
 }
 
+/** Joins the values of repeated headers, so that each header has one string value. */
 function flatHeaders(request: RequestHead): Record<string, string> {
   const flat: Record<string, string> = {};
   for (const [name, value] of Object.entries(request.headers)) {
