--- a/src/model/clock.ts
+++ b/src/model/clock.ts
@@ -1,6 +1,6 @@
-/** The steady clock: the only clock for durations, ages and deadlines. It never jumps. */
+/** The steady clock, which never jumps. Durations, ages and deadlines use no other clock. */
 
-/** Reads a steady time in milliseconds; its zero is arbitrary. */
+/** Returns a steady time in milliseconds, from an arbitrary starting point. */
 export interface Clock {
   now(): number;
 }
--- a/src/model/endpoint.test.ts
+++ b/src/model/endpoint.test.ts
@@ -5,6 +5,6 @@
   ['127.0.0.1:8080', '127.0.0.1', 8080],
   ['[::1]:80', '[::1]', 80],
   ['store.example:443', 'store.example', 443],
-])('an address %s has its host and port', (address, host, port) => {
+])('splits the address %s into host and port', (address, host, port) => {
   expect(endpointOf(address)).toEqual({ host, port });
 });
--- a/src/model/finding.ts
+++ b/src/model/finding.ts
@@ -1,5 +1,5 @@
 /**
- * Findings: every problem of an input, each with its place, collected and
+ * Findings: all problems of an input, each with its location, collected and
  * reported together (brief, "House style").
  */
 
@@ -7,18 +7,18 @@
 export interface Finding {
   /** Stable, machine-readable code, such as `dangling-reference`. */
   readonly code: string;
-  /** Where in the input: an object key followed by a field path. */
+  /** Location in the input: an object key followed by a field path. */
   readonly path: string;
-  /** What is wrong and what would be right, in one sentence. */
+  /** The problem and what would be valid instead, in one sentence. */
   readonly message: string;
-  /** Source file, when the input came from one. */
+  /** Source file, if the input was read from one. */
   readonly file?: string;
   /** Line in `file`, counted from 1. */
   readonly line?: number;
 }
 
-/** Renders a finding as one line for a terminal. */
+/** Formats a finding as one line for a terminal. */
 export function formatFinding(finding: Finding): string {
-  const place = finding.file ? `${finding.file}:${finding.line ?? 1}: ` : '';
-  return `${place}${finding.path}: ${finding.message} [${finding.code}]`;
+  const location = finding.file ? `${finding.file}:${finding.line ?? 1}: ` : '';
+  return `${location}${finding.path}: ${finding.message} [${finding.code}]`;
 }
--- a/src/model/idleConnections.test.ts
+++ b/src/model/idleConnections.test.ts
@@ -5,7 +5,7 @@
 import { closeIdleConnections } from './idleConnections.js';
 
 const agent = new http.Agent({ keepAlive: true });
-/** Answers the path `/at-once` alone. */
+/** Answers only the path `/at-once`; other requests stay open. */
 const server = http.createServer((request, response) => {
   if (request.url === '/at-once') {
     response.end();
@@ -18,7 +18,7 @@
   server.close();
 });
 
-function ask(path: string): http.ClientRequest {
+function sendRequest(path: string): http.ClientRequest {
   const { port } = server.address() as AddressInfo;
   return http.get({ host: '127.0.0.1', port, path, agent }).on('error', () => {});
 }
@@ -27,13 +27,13 @@
   return Object.values(sockets).flat().length;
 }
 
-it('connections at rest are closed, one in use is not', async () => {
+it('closes idle connections, and no connection in use', async () => {
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
-  const busy = ask('/never');
+  const busy = sendRequest('/never');
   await once(busy, 'socket');
-  const [answer] = (await once(ask('/at-once'), 'response')) as [http.IncomingMessage];
-  answer.resume();
+  const [response] = (await once(sendRequest('/at-once'), 'response')) as [http.IncomingMessage];
+  response.resume();
   await vi.waitFor(() => expect(countOf(agent.freeSockets)).toBe(1));
   closeIdleConnections(agent);
   await vi.waitFor(() => expect(countOf(agent.freeSockets)).toBe(0));
--- a/src/model/nodeClocks.test.ts
+++ b/src/model/nodeClocks.test.ts
@@ -1,37 +1,42 @@
+/**
+ * Guards against a suspension of the machine that goes unnoticed, so that old information seems
+ * fresh and timers are late, and against a change of the time of day that is treated as a
+ * suspension.
+ */
 import fc from 'fast-check';
 import { describe, expect, it, vi } from 'vitest';
 import { createNodeClocks } from './nodeClocks.js';
 import { createSuspendAwareTimers } from './suspendAwareTimers.js';
 
-/** Clocks of a machine that the test moves. */
+/** A node's clocks on a simulated machine, whose time the test controls. */
 function machine() {
-  const world = { steady: 1_000, timeOfDay: 1_700_000_000_000, sinceBoot: 50_000 };
+  const readings = { steady: 1_000, timeOfDay: 1_700_000_000_000, sinceBoot: 50_000 };
   const clocks = createNodeClocks({
-    monotonic: () => world.steady,
-    wallClock: () => world.timeOfDay,
-    uptime: () => world.sinceBoot,
+    monotonic: () => readings.steady,
+    wallClock: () => readings.timeOfDay,
+    uptime: () => readings.sinceBoot,
   });
-  const woken: number[] = [];
-  clocks.onResume((sleptMs) => woken.push(sleptMs));
-  /** Time passes while the machine is up; `bootSpeed` is that of the clock since its start. */
-  const pass = (ms: number, bootSpeed = 1) => {
+  const suspensions: number[] = [];
+  clocks.onResume((suspendedMs) => suspensions.push(suspendedMs));
+  /** Lets time pass while the machine runs; `uptimeSpeed` is the speed of the uptime clock. */
+  const pass = (ms: number, uptimeSpeed = 1) => {
     for (let passed = 0; passed < ms; passed += 100) {
-      world.steady += 100;
-      world.timeOfDay += 100;
-      world.sinceBoot += 100 * bootSpeed;
+      readings.steady += 100;
+      readings.timeOfDay += 100;
+      readings.sinceBoot += 100 * uptimeSpeed;
       clocks.clock.now();
     }
   };
   const suspend = (ms: number) => {
-    world.timeOfDay += ms;
-    world.sinceBoot += ms;
+    readings.timeOfDay += ms;
+    readings.sinceBoot += ms;
   };
-  return { world, clocks, woken, pass, suspend };
+  return { readings, clocks, suspensions, pass, suspend };
 }
 
 describe('the clocks of a node', () => {
-  it('count a suspension from the first reading after it', () => {
-    const { clocks, woken, pass, suspend } = machine();
+  it('count the time of a suspension from the first reading after it', () => {
+    const { clocks, suspensions, pass, suspend } = machine();
     pass(8_000);
     const before = clocks.clock.now();
     suspend(3_000);
@@ -39,33 +44,33 @@
     expect(clocks.freshnessClock.now()).toBe(clocks.clock.now());
     suspend(2_000);
     expect(clocks.freshnessClock.now() - before).toBe(5_000);
-    expect(woken).toEqual([3_000, 2_000]);
+    expect(suspensions).toEqual([3_000, 2_000]);
   });
 
   it('do not move when the time of day is set', () => {
-    const { world, clocks, woken, pass } = machine();
+    const { readings, clocks, suspensions, pass } = machine();
     pass(8_000);
     const before = clocks.clock.now();
     for (const jumpMs of [2_400, -2_400, 3_600_000, -3_600_000]) {
-      world.timeOfDay += jumpMs;
+      readings.timeOfDay += jumpMs;
       expect(clocks.clock.now()).toBe(before);
       expect(clocks.freshnessClock.now()).toBe(before);
     }
-    expect(woken).toEqual([]);
+    expect(suspensions).toEqual([]);
   });
 
-  it('let beliefs alone grow older by a jump that may have been a suspension', () => {
-    const { world, clocks, pass } = machine();
+  it('advance only the freshness clock by a jump that may have been a suspension', () => {
+    const { readings, clocks, pass } = machine();
     pass(8_000, 0.4);
     const before = clocks.clock.now();
-    world.timeOfDay += 3_000;
+    readings.timeOfDay += 3_000;
     expect(clocks.clock.now()).toBe(before);
     expect(clocks.freshnessClock.now()).toBe(before + 3_000);
-    world.timeOfDay -= 3_000;
+    readings.timeOfDay -= 3_000;
     expect(clocks.freshnessClock.now()).toBe(before + 3_000);
   });
 
-  it('never go back, whatever the other clocks do', () => {
+  it('never go back, however the underlying clocks move', () => {
     const step = fc.record({
       steady: fc.nat(2_000),
       timeOfDay: fc.integer({ min: -10_000, max: 10_000 }),
@@ -73,20 +78,20 @@
     });
     fc.assert(
       fc.property(fc.array(step, { maxLength: 60 }), (steps) => {
-        const { world, clocks } = machine();
+        const { readings, clocks } = machine();
         let last = clocks.clock.now();
-        let lastBelief = clocks.freshnessClock.now();
+        let lastFreshness = clocks.freshnessClock.now();
         for (const { steady, timeOfDay, sinceBoot } of steps) {
-          world.steady += steady;
-          world.timeOfDay += timeOfDay;
-          world.sinceBoot += sinceBoot;
+          readings.steady += steady;
+          readings.timeOfDay += timeOfDay;
+          readings.sinceBoot += sinceBoot;
           const now = clocks.clock.now();
-          const belief = clocks.freshnessClock.now();
+          const freshness = clocks.freshnessClock.now();
           expect(now - last).toBeGreaterThanOrEqual(steady);
-          expect(belief - lastBelief).toBeGreaterThanOrEqual(steady);
-          expect(belief).toBeGreaterThanOrEqual(now);
+          expect(freshness - lastFreshness).toBeGreaterThanOrEqual(steady);
+          expect(freshness).toBeGreaterThanOrEqual(now);
           last = now;
-          lastBelief = belief;
+          lastFreshness = freshness;
         }
       }),
       { seed: 3 },
@@ -94,27 +99,27 @@
   });
 });
 
-describe('alarms', () => {
-  it('ring once, also when their time has passed asleep, and not when taken back', async () => {
+describe('suspend-aware timers', () => {
+  it('fire once, also if due during a suspension, and not after they are cancelled', async () => {
     vi.useFakeTimers();
-    let wake: (sleptMs: number) => void = () => {};
-    let sleptMs = 0;
-    const alarms = createSuspendAwareTimers({
-      clock: { now: () => performance.now() + sleptMs },
+    let resume: (suspendedMs: number) => void = () => {};
+    let suspendedMs = 0;
+    const timers = createSuspendAwareTimers({
+      clock: { now: () => performance.now() + suspendedMs },
       onResume: (listener) => {
-        wake = listener;
+        resume = listener;
       },
     });
-    const rung: string[] = [];
-    alarms.set(() => rung.push('soon'), 1_000);
-    alarms.set(() => rung.push('late'), 9_000);
-    alarms.set(() => rung.push('never'), 1_000)();
-    sleptMs = 3_000;
-    wake(sleptMs);
+    const fired: string[] = [];
+    timers.set(() => fired.push('soon'), 1_000);
+    timers.set(() => fired.push('late'), 9_000);
+    timers.set(() => fired.push('never'), 1_000)();
+    suspendedMs = 3_000;
+    resume(suspendedMs);
     await vi.advanceTimersByTimeAsync(1);
-    expect(rung).toEqual(['soon']);
+    expect(fired).toEqual(['soon']);
     await vi.advanceTimersByTimeAsync(10_000);
     vi.useRealTimers();
-    expect(rung).toEqual(['soon', 'late']);
+    expect(fired).toEqual(['soon', 'late']);
   });
 });
--- a/src/model/nodeClocks.ts
+++ b/src/model/nodeClocks.ts
@@ -1,132 +1,150 @@
 /**
- * The clocks of a node whose machine may be suspended. The steady clock does not count that time: after
- * it, what was believed before seems fresh, and what has passed seems to lie ahead.
+ * The clocks of a node whose machine may be suspended. The steady clock of the process does not
+ * count the time of a suspension, so after a resume old information would seem fresh and passed
+ * deadlines would seem to lie in the future. These clocks detect suspensions and add their
+ * duration.
  */
 import { uptime } from 'node:os';
 import type { Clock } from './clock.js';
 
-/** Where time is read from, in milliseconds; each has a zero of its own. */
+/** The clocks that time is read from, in milliseconds; each has its own starting point. */
 export interface ClockSources {
-  /** Never jumps, and stands still while the machine is suspended. */
+  /** Never jumps, and stops while the machine is suspended. */
   readonly monotonic: () => number;
-  /** Counts a suspension, and jumps when it is set. */
+  /** The time of day. Counts the time of a suspension, and jumps when the clock is set. */
   readonly wallClock: () => number;
-  /** Counts a suspension and never jumps, unless the system tells another machine's. */
+  /**
+   * Time since the machine was started. Counts the time of a suspension and never jumps, unless the
+   * system returns the uptime of another machine.
+   */
   readonly uptime: () => number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Those of this process. */
+/** The clocks of this process. */
 export const SYSTEM_CLOCK_SOURCES: ClockSources = {
   monotonic: () => performance.now(),
   wallClock: () => Date.now(),
   uptime: () => uptime() * MILLISECONDS_PER_SECOND,
 };
 
-/** One set for each node. */
+/** The clocks of one node. */
 export interface NodeClocks {
-  /** For deadlines: what has passed for certain. */
+  /** For deadlines: counts the time that has certainly passed. */
   readonly clock: Clock;
-  /** For what is only believed: what may have passed. Never behind {@link clock}. */
+  /**
+   * For the age of information: counts the time that may have passed. Never behind {@link clock}.
+   */
   readonly freshnessClock: Clock;
-  /** Calls the listener, with the milliseconds that were slept, when {@link clock} has jumped. */
-  onResume(listener: (sleptMs: number) => void): void;
+  /**
+   * Registers a listener for resumes. It is called after {@link clock} has jumped, with the
+   * duration of the suspension in milliseconds.
+   */
+  onResume(listener: (suspendedMs: number) => void): void;
 }
 
 /**
- * The time of day has jumped when it moved so much more, or less, than the steady clock, in milliseconds:
- * more than its corrections by network time, and less than what any deadline or age is about.
+ * Smallest difference between the movements of the time of day and the steady clock, in
+ * milliseconds, that counts as a jump. It is larger than corrections by network time, and smaller
+ * than any deadline or maximum age.
  */
 const JUMP_MS = 250;
 
-/** The clock since the start of the machine is looked at so often, in milliseconds; a look takes 5 microseconds. */
-const LOOK_MS = 500;
+/** Interval for reading the uptime, in milliseconds; a reading takes 5 microseconds. */
+const UPTIME_INTERVAL_MS = 500;
 
 /**
- * It is believed once it has kept step with the steady clock for this time, within this tolerance, in
- * milliseconds: it comes in steps of 10, and where machines are simulated it may be another machine's.
+ * The uptime is considered reliable after it has moved like the steady clock for this time, within
+ * this tolerance, in milliseconds. It has a resolution of 10, and on a simulated machine it may be
+ * the uptime of another machine.
  */
-const PROOF_MS = 5_000;
+const RELIABLE_AFTER_MS = 5_000;
 const TOLERANCE_MS = 30;
 
-/** Whether the clock since the start of the machine can tell a suspension. */
-interface BootClock {
-  readonly isProven: boolean;
-  /** Looks at it if that is due; `at` is the present steady time in milliseconds. */
-  look(at: number): void;
-  /** Milliseconds that it has moved more than the steady clock since the last look. */
-  takeJumpMs(at: number): number;
+/** Compares the uptime with the steady clock. `at` is the current steady time in milliseconds. */
+interface UptimeMonitor {
+  /** True if the uptime is known to move like the steady clock, and so can show a suspension. */
+  readonly isReliable: boolean;
+  /** Reads the uptime if the interval has passed since the last reading. */
+  update(at: number): void;
+  /**
+   * Returns how much more than the steady clock the uptime has moved since the last reading, in
+   * milliseconds, and takes the current difference between them as the new reference.
+   */
+  measureJumpMs(at: number): number;
 }
 
-function createBootClock({ monotonic, uptime }: ClockSources): BootClock {
-  let lookedAt = monotonic();
-  let inStepSince = lookedAt;
-  let offset = uptime() - lookedAt;
+function createUptimeMonitor({ monotonic, uptime }: ClockSources): UptimeMonitor {
+  let readAt = monotonic();
+  let inSyncSince = readAt;
+  let offset = uptime() - readAt;
   return {
-    get isProven() {
-      return lookedAt - inStepSince >= PROOF_MS;
+    get isReliable() {
+      return readAt - inSyncSince >= RELIABLE_AFTER_MS;
     },
-    look: (at) => {
-      if (at - lookedAt < LOOK_MS) {
+    update: (at) => {
+      if (at - readAt < UPTIME_INTERVAL_MS) {
         return;
       }
-      lookedAt = at;
-      const present = uptime() - at;
-      if (Math.abs(present - offset) > TOLERANCE_MS) {
-        offset = present;
-        inStepSince = at;
+      readAt = at;
+      const currentOffset = uptime() - at;
+      if (Math.abs(currentOffset - offset) > TOLERANCE_MS) {
+        offset = currentOffset;
+        inSyncSince = at;
       }
     },
-    takeJumpMs: (at) => {
-      const present = uptime() - at;
-      const jumpMs = present - offset;
-      offset = present;
+    measureJumpMs: (at) => {
+      const currentOffset = uptime() - at;
+      const jumpMs = currentOffset - offset;
+      offset = currentOffset;
       return jumpMs;
     },
   };
 }
 
 /**
- * A jump of the time of day is what is noticed, at the first reading after it. It was a suspension if
- * the clock since the start of the machine has jumped as well, and the clock was merely set if not.
- * Where that one cannot tell, a jump forward may have been a suspension: beliefs grow older by it, which
- * costs a question, and deadlines stay, since requests would be given up for a clock that was set.
+ * Detects a suspension by a jump of the time of day, at the first reading after it. If the uptime
+ * has jumped as well, the machine was suspended; if not, the clock was only set. If the uptime is
+ * not reliable, a jump forward may have been a suspension. Then only the freshness clock advances,
+ * which at worst causes information to be requested again. Deadlines do not change, because
+ * requests would otherwise be given up when the clock is only set.
  */
 export function createNodeClocks(sources: ClockSources = SYSTEM_CLOCK_SOURCES): NodeClocks {
   const { monotonic, wallClock } = sources;
-  const bootClock = createBootClock(sources);
-  const listeners: ((sleptMs: number) => void)[] = [];
-  let dayOffset = wallClock() - monotonic();
-  let sleptMs = 0;
-  let maybeSleptMs = 0;
+  const uptimeMonitor = createUptimeMonitor(sources);
+  const listeners: ((suspendedMs: number) => void)[] = [];
+  let wallClockOffset = wallClock() - monotonic();
+  let suspendedMs = 0;
+  let maybeSuspendedMs = 0;
 
   const onJump = (jumpMs: number, at: number): void => {
-    const bootJumpMs = bootClock.takeJumpMs(at);
-    if (!bootClock.isProven) {
-      maybeSleptMs += Math.max(0, jumpMs);
-    } else if (bootJumpMs >= JUMP_MS) {
-      sleptMs += bootJumpMs;
+    const uptimeJumpMs = uptimeMonitor.measureJumpMs(at);
+    if (!uptimeMonitor.isReliable) {
+      maybeSuspendedMs += Math.max(0, jumpMs);
+    } else if (uptimeJumpMs >= JUMP_MS) {
+      suspendedMs += uptimeJumpMs;
       for (const listener of listeners) {
-        listener(bootJumpMs);
+        listener(uptimeJumpMs);
       }
     }
   };
-  const look = (): number => {
+  /** Checks for a jump of the time of day and returns the steady time of the process. */
+  const readSteadyTime = (): number => {
     const at = monotonic();
     const offset = wallClock() - at;
-    const jumpMs = offset - dayOffset;
-    dayOffset = offset;
+    const jumpMs = offset - wallClockOffset;
+    wallClockOffset = offset;
     if (Math.abs(jumpMs) >= JUMP_MS) {
       onJump(jumpMs, at);
     } else {
-      bootClock.look(at);
+      uptimeMonitor.update(at);
     }
     return at;
   };
   return {
-    clock: { now: () => look() + sleptMs },
-    freshnessClock: { now: () => look() + sleptMs + maybeSleptMs },
+    clock: { now: () => readSteadyTime() + suspendedMs },
+    freshnessClock: { now: () => readSteadyTime() + suspendedMs + maybeSuspendedMs },
     onResume: (listener) => {
       listeners.push(listener);
     },
--- a/src/model/rendezvous.ts
+++ b/src/model/rendezvous.ts
@@ -1,13 +1,13 @@
 /**
- * Rendezvous hashing (Thaler and Ravishankar 1998): every node ranks the members
- * by a hash, so that all agree on who has a role, and a member that comes or
- * goes moves only the roles it had.
+ * Rendezvous hashing (Thaler and Ravishankar 1998): each node ranks the members
+ * by a hash, so that all nodes assign a role to the same member. If a member
+ * joins or leaves, only its own roles move.
  */
 
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** A 32-bit hash of a text: FNV-1a with a final mix, so that similar names spread. */
+/** A 32-bit hash of a text: FNV-1a with a final mix, so that similar names get different ranks. */
 export function hash32(text: string): number {
   let hash = FNV_OFFSET;
   for (let index = 0; index < text.length; index += 1) {
--- a/src/model/slidingWindowCounter.ts
+++ b/src/model/slidingWindowCounter.ts
@@ -1,15 +1,15 @@
-/** Counts events of the latest window, by parts of the window so that memory stays small. */
+/** Counts the events of a sliding window. It stores one count for each part of the window. */
 
-/** Parts of a window: the count is off by the events of one part at the most. */
+/** Number of parts of a window. A count is wrong by at most the events of one part. */
 const PARTS = 20;
 
-/** Events of one kind. */
+/** A counter of events; `now` is the steady time in milliseconds. */
 export interface SlidingWindowCounter {
-  /** Takes note of one event. */
+  /** Counts one event. */
   add(now: number): void;
-  /** Events of the last whole window; those of the part that is just leaving it are counted too. */
+  /** Number of events in the window, including all of the part that is just leaving it. */
   upperBound(now: number): number;
-  /** The same without the part that is just leaving the window. */
+  /** Number of events in the window, without the part that is just leaving it. */
   lowerBound(now: number): number;
 }
 
--- a/src/model/suspendAwareTimers.ts
+++ b/src/model/suspendAwareTimers.ts
@@ -1,29 +1,33 @@
-/** Timers that are also due when their time has passed while the machine was suspended. */
+/** Timers whose delay includes the time for which the machine is suspended. */
 import type { NodeClocks } from './nodeClocks.js';
 
-/** One set for each node. */
+/** The timers of one node. */
 export interface SuspendAwareTimers {
-  /** Calls back after so many milliseconds; returns how to take that back. */
+  /** Calls `callback` after `delayMs` milliseconds. Returns a function that cancels the timer. */
   set(callback: () => void, delayMs: number): () => void;
 }
 
-interface Alarm {
+interface PendingTimer {
+  /** Steady time in milliseconds. */
   readonly dueAt: number;
-  readonly ring: () => void;
+  readonly fire: () => void;
 }
 
-/** The runtime's timers run on the steady clock, which stands still during a suspension. */
+/**
+ * The runtime's timers use a steady clock that stops during a suspension. After a resume, timers
+ * that are due by the node's clock are therefore fired at once.
+ */
 export function createSuspendAwareTimers({
   clock,
   onResume,
 }: Pick<NodeClocks, 'clock' | 'onResume'>): SuspendAwareTimers {
-  const pending = new Set<Alarm>();
+  const pending = new Set<PendingTimer>();
   onResume(() => {
-    // The clock is being read by someone: what is due rings after that.
+    // This listener runs while some code reads the clock, so due timers fire after that code.
     setImmediate(() => {
       const now = clock.now();
-      for (const alarm of [...pending].filter(({ dueAt }) => dueAt <= now)) {
-        alarm.ring();
+      for (const pendingTimer of [...pending].filter(({ dueAt }) => dueAt <= now)) {
+        pendingTimer.fire();
       }
     });
   });
@@ -31,15 +35,15 @@
     set: (callback, delayMs) => {
       const cancel = () => {
         clearTimeout(timer);
-        pending.delete(alarm);
+        pending.delete(pendingTimer);
       };
-      const ring = () => {
+      const fire = () => {
         cancel();
         callback();
       };
-      const timer = setTimeout(ring, delayMs);
-      const alarm = { dueAt: clock.now() + delayMs, ring };
-      pending.add(alarm);
+      const timer = setTimeout(fire, delayMs);
+      const pendingTimer = { dueAt: clock.now() + delayMs, fire };
+      pending.add(pendingTimer);
       return cancel;
     },
   };
--- a/src/model/waiters.test.ts
+++ b/src/model/waiters.test.ts
@@ -9,7 +9,7 @@
   vi.useRealTimers();
 });
 
-it('all that wait resume at the event, and leave no timer behind', async () => {
+it('wakes all waiting callers at the event, and leaves no timers', async () => {
   const waiters = createWaiters();
   const all = Promise.all([waiters.wait(1_000), waiters.wait(2_000)]);
   waiters.wakeAll();
@@ -17,28 +17,28 @@
   expect(vi.getTimerCount()).toBe(0);
 });
 
-it('one that waits resumes after its own time without the event', async () => {
+it('wakes a caller after its own timeout if there is no event', async () => {
   const waiters = createWaiters();
-  const resumed: string[] = [];
-  const short = waiters.wait(100).then(() => resumed.push('short'));
-  void waiters.wait(200).then(() => resumed.push('long'));
+  const woken: string[] = [];
+  const short = waiters.wait(100).then(() => woken.push('short'));
+  void waiters.wait(200).then(() => woken.push('long'));
   await vi.advanceTimersByTimeAsync(100);
   await short;
-  expect(resumed).toEqual(['short']);
+  expect(woken).toEqual(['short']);
 });
 
-it('one that begins to wait when woken waits for the next event', async () => {
+it('does not wake a caller that waits again until the next event', async () => {
   const waiters = createWaiters();
-  const resumed: string[] = [];
+  const woken: string[] = [];
   const twice = waiters.wait(1_000).then(async () => {
-    resumed.push('first');
+    woken.push('first');
     await waiters.wait(1_000);
-    resumed.push('second');
+    woken.push('second');
   });
   waiters.wakeAll();
   await vi.advanceTimersByTimeAsync(0);
-  expect(resumed).toEqual(['first']);
+  expect(woken).toEqual(['first']);
   waiters.wakeAll();
   await twice;
-  expect(resumed).toEqual(['first', 'second']);
+  expect(woken).toEqual(['first', 'second']);
 });
--- a/src/model/waiters.ts
+++ b/src/model/waiters.ts
@@ -1,22 +1,23 @@
-/** Callers that wait for one event, each for a time of its own at the longest. */
+/** Lets callers wait for an event, each with its own timeout. */
 
 export interface Waiters {
-  /** Resolves at the next {@link wakeAll}, or after so many milliseconds. */
-  wait(longestMs: number): Promise<void>;
+  /** Resolves at the next {@link wakeAll}, or after `timeoutMs` milliseconds. */
+  wait(timeoutMs: number): Promise<void>;
+  /** Signals the event: wakes all callers that are waiting now. */
   wakeAll(): void;
 }
 
 export function createWaiters(): Waiters {
   const waiting = new Set<() => void>();
   return {
-    wait: (longestMs) =>
+    wait: (timeoutMs) =>
       new Promise((resolve) => {
         const wake = () => {
           clearTimeout(timer);
           waiting.delete(wake);
           resolve();
         };
-        const timer = setTimeout(wake, longestMs);
+        const timer = setTimeout(wake, timeoutMs);
         waiting.add(wake);
       }),
     wakeAll: () => {
