--- a/src/codec/frame.ts
+++ b/src/codec/frame.ts
@@ -6,7 +6,7 @@
 
 const HEADER_BYTES = 4;
 
-/** Largest frame accepted, in bytes: a snapshot of a large configuration fits. */
+/** Largest accepted frame in bytes; a snapshot of a large configuration fits. */
 export const MAX_FRAME_BYTES = 32 * 1024 * 1024;
 
 const codec = new Encoder({ useRecords: false, variableMapSize: true });
@@ -16,7 +16,7 @@
   return codec.encode(value);
 }
 
-/** Decodes CBOR, or returns undefined when the bytes are not a value. */
+/** Decodes CBOR. Undefined if the bytes are not valid. */
 export function decodeValue(bytes: Buffer): unknown {
   try {
     return codec.decode(bytes);
@@ -34,13 +34,14 @@
   return frame;
 }
 
-/** Cuts a stream of bytes into values. */
+/** Decodes the values of a stream of frames. */
 export class FrameReader {
   private pending: Buffer = Buffer.alloc(0);
 
   /**
-   * Takes the next bytes and returns the values now complete, or undefined when
-   * the stream is not made of frames; the connection must then be destroyed.
+   * Adds the next bytes of the stream and returns the values that are now
+   * complete. Undefined if the stream is invalid; the caller must then destroy
+   * the connection.
    */
   read(chunk: Buffer): unknown[] | undefined {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
--- a/src/codec/numberGuards.ts
+++ b/src/codec/numberGuards.ts
@@ -1,16 +1,19 @@
-/** Which decoded values are the numbers that a message means: others may hold anything. */
+/** Type guards for numbers in decoded messages, whose fields may have any type. */
 
 /** True for a finite number that is not negative. */
 export function isNonNegativeNumber(value: unknown): value is number {
   return typeof value === 'number' && value >= 0 && value < Number.POSITIVE_INFINITY;
 }
 
-/** True for a whole number that is not negative. */
+/** True for an integer that is not negative and small enough to be exact. */
 export function isNonNegativeInteger(value: unknown): value is number {
   return Number.isSafeInteger(value) && (value as number) >= 0;
 }
 
-/** The number if it is an amount, else the other one. */
-export function nonNegativeNumberOr<Other>(value: unknown, other: Other): number | Other {
-  return isNonNegativeNumber(value) ? value : other;
+/** Returns the value if it is a finite number that is not negative, otherwise the fallback. */
+export function nonNegativeNumberOr<Fallback>(
+  value: unknown,
+  fallback: Fallback,
+): number | Fallback {
+  return isNonNegativeNumber(value) ? value : fallback;
 }
