--- a/src/cli/explanation.ts
+++ b/src/cli/explanation.ts
@@ -2,7 +2,7 @@
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { placementOf } from '../ingress/placement.js';
 import { compilePolicy } from '../policy/placement-policy.js';
-import { completeConfiguration } from '../routing/completeConfiguration.js';
+import { resolveDependencies } from '../routing/configurationDependencies.js';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
 import { RouteMatcher } from '../routing/route-matcher.js';
 import { type ExplainedAccess, explainAccess } from './explainedAccess.js';
@@ -47,7 +47,7 @@
 ): Explanation {
   const { version } = configuration;
   // Secrets play no part in the decision.
-  const completion = completeConfiguration(
+  const completion = resolveDependencies(
     { ...configuration, secrets: [] },
     { compilePolicy, secrets: new Map() },
   );
--- a/src/cli/secretCommands.ts
+++ b/src/cli/secretCommands.ts
@@ -1,6 +1,6 @@
 /** The command about secrets: a configuration names them by their digests. */
 import { readFileSync } from 'node:fs';
-import { secretDigest } from '../routing/completeConfiguration.js';
+import { secretDigest } from '../routing/configurationDependencies.js';
 import { SECRET_KIND, type SecretObject } from '../source/dependencyLoader.js';
 import { ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
--- a/src/routing/completeConfiguration.ts
+++ b/src/routing/configurationDependencies.ts
@@ -13,36 +13,36 @@
 export type PolicyCompiler = (name: string, program: string) => Either<PolicyError, CompiledPolicy>;
 
 /** What is at hand; both are fetched only for a configuration that needs them. */
-export interface Supplies {
+export interface AvailableDependencies {
   readonly compilePolicy: PolicyCompiler | undefined;
   /** Values of secrets by name. */
   readonly secrets: ReadonlyMap<string, string>;
 }
 
 /** What the routes of a configuration use. */
-export interface Complements {
+export interface ResolvedDependencies {
   readonly policies: ReadonlyMap<string, CompiledPolicy>;
   readonly secrets: ReadonlyMap<string, string>;
 }
 
 /** What is still missing, by name. */
-export interface Shortage {
+export interface MissingDependencies {
   readonly needsPolicies: boolean;
   readonly secrets: readonly string[];
 }
 
-export type Completion =
-  | { readonly kind: 'complete'; readonly complements: Complements }
-  | { readonly kind: 'short'; readonly shortage: Shortage }
+export type DependencyResolution =
+  | { readonly kind: 'complete'; readonly complements: ResolvedDependencies }
+  | { readonly kind: 'short'; readonly shortage: MissingDependencies }
   | { readonly kind: 'faulty'; readonly findings: readonly Finding[] };
 
 /** Of a configuration without policies and secrets. */
-export const NO_COMPLEMENTS: Complements = { policies: new Map(), secrets: new Map() };
+export const NO_DEPENDENCIES: ResolvedDependencies = { policies: new Map(), secrets: new Map() };
 
-export function completeConfiguration(
+export function resolveDependencies(
   configuration: MeshConfiguration,
-  supplies: Supplies,
-): Completion {
+  supplies: AvailableDependencies,
+): DependencyResolution {
   const needsPolicies = configuration.policies.length > 0 && !supplies.compilePolicy;
   const secrets = configuration.secrets
     .filter(({ name, digest }) => !hasDigest(supplies.secrets.get(name), digest))
--- a/src/routing/route-matcher.ts
+++ b/src/routing/route-matcher.ts
@@ -2,7 +2,7 @@
 import type { CompiledPolicy } from '../policy/placement-policy.js';
 import { createKeyring, type Keyring } from '../tenants/keyring.js';
 import { createTenantShares } from '../tenants/tenantShares.js';
-import { type Complements, NO_COMPLEMENTS } from './completeConfiguration.js';
+import { NO_DEPENDENCIES, type ResolvedDependencies } from './configurationDependencies.js';
 import type { MeshConfiguration, MeshRoute, MeshService } from './mesh-configuration.js';
 import { TrafficSplit } from './traffic-split.js';
 
@@ -29,7 +29,7 @@
   constructor(
     readonly configuration: MeshConfiguration,
     previous?: RouteMatcher,
-    complements: Complements = NO_COMPLEMENTS,
+    complements: ResolvedDependencies = NO_DEPENDENCIES,
   ) {
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
@@ -80,7 +80,7 @@
 function readyRoute(
   route: MeshRoute,
   split: TrafficSplit,
-  { policies, secrets }: Complements,
+  { policies, secrets }: ResolvedDependencies,
 ): MatchedRoute {
   const { credential } = route;
   const value = credential && secrets.get(credential.secret);
--- a/src/sidecar/outside.ts
+++ b/src/sidecar/outside.ts
@@ -3,7 +3,7 @@
 import type { HeaderNames } from '../owner/header-names.js';
 import type { Heartbeat } from '../registry/back-end-registry.js';
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
-import type { PolicyCompiler } from '../routing/completeConfiguration.js';
+import type { PolicyCompiler } from '../routing/configurationDependencies.js';
 import type { ConfigurationCandidate } from '../source/configuration-holder.js';
 import type { ObjectStore } from '../source/object-store.js';
 
--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -5,7 +5,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
 import type { Finding } from '../model/finding.js';
-import type { Shortage } from '../routing/completeConfiguration.js';
+import type { MissingDependencies } from '../routing/configurationDependencies.js';
 import type { RouteMatcher } from '../routing/route-matcher.js';
 import { type CollectionHandler, CollectionWatcher } from './collection-watcher.js';
 import {
@@ -77,7 +77,7 @@
   readonly onApplied: (routes: RouteMatcher, origin: string) => void;
   readonly onRejected: (version: number, origin: string, findings: readonly Finding[]) => void;
   /** A version waits for policies or secrets. */
-  readonly onDependenciesMissing: (version: number, shortage: Shortage) => void;
+  readonly onDependenciesMissing: (version: number, shortage: MissingDependencies) => void;
   readonly onUnreadable: (revision: number) => void;
   readonly dependencyLoader: DependencyLoader;
 }
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -5,10 +5,10 @@
  */
 import type { Finding } from '../model/finding.js';
 import {
-  completeConfiguration,
-  type Shortage,
-  type Supplies,
-} from '../routing/completeConfiguration.js';
+  type AvailableDependencies,
+  type MissingDependencies,
+  resolveDependencies,
+} from '../routing/configurationDependencies.js';
 import { createConfigurationCheck, type MeshConfiguration } from '../routing/mesh-configuration.js';
 import { RouteMatcher } from '../routing/route-matcher.js';
 
@@ -27,7 +27,7 @@
   | { readonly kind: 'not-newer' }
   | { readonly kind: 'held-off'; readonly version: number; readonly findings: readonly Finding[] }
   /** It comes into force once what it lacks is there. */
-  | { readonly kind: 'short'; readonly version: number; readonly shortage: Shortage };
+  | { readonly kind: 'short'; readonly version: number; readonly shortage: MissingDependencies };
 
 /** One per node. */
 export class ConfigurationHolder {
@@ -51,7 +51,10 @@
   }
 
   /** Takes a candidate if it is newer than what is held. */
-  apply(offered: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): ApplyResult {
+  apply(
+    offered: ConfigurationCandidate,
+    supplies: AvailableDependencies = NO_SUPPLIES,
+  ): ApplyResult {
     if (!(offered.version > Math.max(this.version, this.rejectedVersion))) {
       return { kind: 'not-newer' };
     }
@@ -64,10 +67,10 @@
   private complete(
     offered: ConfigurationCandidate,
     configuration: MeshConfiguration,
-    supplies: Supplies,
+    supplies: AvailableDependencies,
   ): ApplyResult {
     const { version } = offered;
-    const completion = completeConfiguration(configuration, supplies);
+    const completion = resolveDependencies(configuration, supplies);
     switch (completion.kind) {
       case 'short':
         return { kind: 'short', version, shortage: completion.shortage };
@@ -86,4 +89,4 @@
   }
 }
 
-const NO_SUPPLIES: Supplies = { compilePolicy: undefined, secrets: new Map() };
+const NO_SUPPLIES: AvailableDependencies = { compilePolicy: undefined, secrets: new Map() };
--- a/src/source/dependencyLoader.ts
+++ b/src/source/dependencyLoader.ts
@@ -2,7 +2,11 @@
  * Gets what some configurations need and most do not: the compiler of placement policies, which
  * takes tens of milliseconds and megabytes to load, and the values of secrets.
  */
-import type { PolicyCompiler, Shortage, Supplies } from '../routing/completeConfiguration.js';
+import type {
+  AvailableDependencies,
+  MissingDependencies,
+  PolicyCompiler,
+} from '../routing/configurationDependencies.js';
 import { type ObjectStore, ReadConsistency } from './object-store.js';
 
 /** Kind of the objects that hold secrets. */
@@ -21,9 +25,9 @@
 
 export interface DependencyLoader {
   /** What has been fetched so far. */
-  readonly dependencies: Supplies;
+  readonly dependencies: AvailableDependencies;
   /** Fetches what is missing, as far as it is to be had now. */
-  load(shortage: Shortage): Promise<void>;
+  load(shortage: MissingDependencies): Promise<void>;
 }
 
 export function createDependencyLoader({
