--- a/src/charts/chart.ts
+++ b/src/charts/stateChart.ts
@@ -4,29 +4,29 @@
  */
 
 /** A flat chart. */
-export interface ChartDefinition {
+export interface StateChartDefinition {
   readonly id: string;
   readonly initial: string;
-  readonly states: Readonly<Record<string, ChartState>>;
+  readonly states: Readonly<Record<string, StateDefinition>>;
 }
 
-interface ChartState {
+interface StateDefinition {
   readonly type?: string;
   /** The state that each event leads to. */
   readonly on?: Readonly<Record<string, string>>;
 }
 
 /** A running chart. */
-export interface Chart<State extends string, Event extends string> {
+export interface StateChart<State extends string, Event extends string> {
   readonly state: State;
   /** A state without a transition for the event ignores it. */
   send(event: Event): void;
 }
 
-export function createChart<State extends string, Event extends string>(
-  definition: ChartDefinition,
+export function createStateChart<State extends string, Event extends string>(
+  definition: StateChartDefinition,
   onState: (state: State) => void,
-): Chart<State, Event> {
+): StateChart<State, Event> {
   let state = definition.initial as State;
   return {
     get state() {
--- a/src/sidecar/lifecycle.ts
+++ b/src/sidecar/lifecycle.ts
@@ -1,6 +1,7 @@
 /** The life of a sidecar, as its chart has it. */
-import { type Chart, createChart } from '../charts/chart.js';
+
 import definition from '../charts/sidecar-lifecycle.json' with { type: 'json' };
+import { createStateChart, type StateChart } from '../charts/stateChart.js';
 
 export enum LifecycleState {
   Starting = 'starting',
@@ -23,9 +24,9 @@
   GraceSpent = 'GRACE_SPENT',
 }
 
-export type Lifecycle = Chart<LifecycleState, LifecycleEvent>;
+export type Lifecycle = StateChart<LifecycleState, LifecycleEvent>;
 
 /** `onState` is called on entry to each state after the first. */
 export function createLifecycle(onState: (state: LifecycleState) => void): Lifecycle {
-  return createChart(definition, onState);
+  return createStateChart(definition, onState);
 }
