--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -5,7 +5,7 @@
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
 import type { Finding } from '../model/finding.js';
-import type { Shortage } from '../routing/completeConfiguration.js';
+import type { MissingDependencies } from '../routing/configurationDependencies.js';
 import type { RouteMatcher } from '../routing/route-matcher.js';
 import { type CollectionHandler, CollectionWatcher } from './collection-watcher.js';
 import {
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -6,10 +6,10 @@
  */
 import type { Finding } from '../model/finding.js';
 import {
-  completeConfiguration,
-  type Shortage,
-  type Supplies,
-} from '../routing/completeConfiguration.js';
+  type AvailableDependencies,
+  type MissingDependencies,
+  resolveDependencies,
+} from '../routing/configurationDependencies.js';
 import { createConfigurationCheck, type MeshConfiguration } from '../routing/mesh-configuration.js';
 import { RouteMatcher } from '../routing/route-matcher.js';
 
@@ -67,7 +67,7 @@
   private complete(
     candidate: ConfigurationCandidate,
     configuration: MeshConfiguration,
-    supplies: Supplies,
+    supplies: AvailableDependencies,
   ): ApplyResult {
     const { version } = candidate;
     const completion = completeConfiguration(configuration, supplies);
@@ -89,4 +89,4 @@
   }
 }
 
-const NO_SUPPLIES: Supplies = { compilePolicy: undefined, secrets: new Map() };
+const NO_SUPPLIES: AvailableDependencies = { compilePolicy: undefined, secrets: new Map() };
--- a/src/source/dependencyLoader.ts
+++ b/src/source/dependencyLoader.ts
@@ -3,7 +3,11 @@
  * the values of secrets. They are loaded on demand because the compiler takes tens of milliseconds
  * and megabytes of memory to load.
  */
-import type { PolicyCompiler, Shortage, Supplies } from '../routing/completeConfiguration.js';
+import type {
+  AvailableDependencies,
+  MissingDependencies,
+  PolicyCompiler,
+} from '../routing/configurationDependencies.js';
 import { type ObjectStore, ReadConsistency } from './object-store.js';
 
 /** Kind of the store objects that hold secrets. */
