--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -88,7 +88,7 @@
   readonly onApplied: (routes: RouteMatcher, origin: string) => void;
   readonly onRejected: (version: number, origin: string, findings: readonly Finding[]) => void;
   /** A version cannot come into force until its policies or secrets are loaded. */
-  readonly onDependenciesMissing: (version: number, shortage: Shortage) => void;
+  readonly onDependenciesMissing: (version: number, shortage: MissingDependencies) => void;
   /** The stored configuration of this revision cannot be decoded. */
   readonly onUnreadable: (revision: number) => void;
   readonly dependencyLoader: DependencyLoader;
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -28,7 +28,7 @@
   | { readonly kind: 'not-newer' }
   | { readonly kind: 'held-off'; readonly version: number; readonly findings: readonly Finding[] }
   /** The version lacks policies or secrets; it can come into force once they are loaded. */
-  | { readonly kind: 'short'; readonly version: number; readonly shortage: Shortage };
+  | { readonly kind: 'short'; readonly version: number; readonly shortage: MissingDependencies };
 
 /** One per node. */
 export class ConfigurationHolder {
@@ -54,7 +54,10 @@
   }
 
   /** Puts a candidate into force if it is newer than the version in force, complete and valid. */
-  apply(candidate: ConfigurationCandidate, supplies: Supplies = NO_SUPPLIES): ApplyResult {
+  apply(
+    candidate: ConfigurationCandidate,
+    supplies: AvailableDependencies = NO_SUPPLIES,
+  ): ApplyResult {
     if (!(candidate.version > Math.max(this.version, this.rejectedVersion))) {
       return { kind: 'not-newer' };
     }
@@ -70,7 +73,7 @@
     supplies: AvailableDependencies,
   ): ApplyResult {
     const { version } = candidate;
-    const completion = completeConfiguration(configuration, supplies);
+    const completion = resolveDependencies(configuration, supplies);
     switch (completion.kind) {
       case 'short':
         return { kind: 'short', version, shortage: completion.shortage };
--- a/src/source/dependencyLoader.ts
+++ b/src/source/dependencyLoader.ts
@@ -26,9 +26,9 @@
 
 export interface DependencyLoader {
   /** The policy compiler and the secrets loaded so far. */
-  readonly dependencies: Supplies;
+  readonly dependencies: AvailableDependencies;
   /** Loads what is missing. Secrets stay as they are if the store does not answer. */
-  load(shortage: Shortage): Promise<void>;
+  load(shortage: MissingDependencies): Promise<void>;
 }
 
 export function createDependencyLoader({
