--- a/src/cli/explanation.ts
+++ b/src/cli/explanation.ts
@@ -1,6 +1,6 @@
 /** How a request would be decided: its route, its services, and the owners that may serve it. */
 import type { OwnerRecord } from '../directory/owner-entry.js';
-import { placementOf } from '../ingress/placement.js';
+import { createPlacementFilter } from '../ingress/placementFilter.js';
 import { compilePolicy } from '../policy/placement-policy.js';
 import { resolveDependencies } from '../routing/configurationDependencies.js';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
@@ -66,7 +66,7 @@
   const caller = { tenant: access?.tenant, hiddenFields: new Set<string>() };
   const placements = split.map(({ service }) => ({
     service,
-    check: placementOf(request, matched, service, own, caller),
+    check: createPlacementFilter(request, matched, service, own, caller),
   }));
   const owners = placements.flatMap(({ service, check }) =>
     records
--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -10,7 +10,7 @@
 export interface Attempt {
   readonly entry: OwnerEntry;
   /** Offers that the request had made before. */
-  readonly earlier: number;
+  readonly earlierOffers: number;
   /** Steady time in milliseconds. */
   readonly startedAt: number;
   /** Never rejects. */
@@ -28,11 +28,17 @@
   /** False if the owner is to turn the task away unless a slot is free. */
   readonly mayWait: boolean;
   readonly clock: Clock;
-  readonly earlier: number;
+  readonly earlierOffers: number;
 }
 
 /** Offers the task to an owner. */
-export function startAttempt({ entry, task, mayWait, clock, earlier }: AttemptContext): Attempt {
+export function startAttempt({
+  entry,
+  task,
+  mayWait,
+  clock,
+  earlierOffers,
+}: AttemptContext): Attempt {
   const cancellation = new Cancellation();
   const release = task.cancellation.onCancel(() => cancellation.cancel());
   let fallSilent: (silent: typeof SILENT) => void = () => {};
@@ -56,5 +62,5 @@
       entry.outstanding -= 1;
       release();
     });
-  return { entry, earlier, startedAt, outcome, silence, cancel: () => cancellation.cancel() };
+  return { entry, earlierOffers, startedAt, outcome, silence, cancel: () => cancellation.cancel() };
 }
--- a/src/ingress/clientAccess.ts
+++ b/src/ingress/clientAccess.ts
@@ -11,7 +11,7 @@
   /** True when there may be a newer configuration than the one in force here. */
   readonly mayBeBehind: () => boolean;
   /** True when a key may have been taken away so long ago that it must not be believed any longer. */
-  readonly isOutdated: () => boolean;
+  readonly isTooStale: () => boolean;
 }
 
 /** One per ingress. */
@@ -29,7 +29,7 @@
 export function createClientAccess({
   names,
   mayBeBehind,
-  isOutdated,
+  isTooStale,
 }: ClientAccessContext): ClientAccess {
   const keyField = names.apiKey.toLowerCase();
   const always = [names.deadline, names.expectInstance, names.callerService];
@@ -43,7 +43,7 @@
         isPublic,
         keys: request.headersDistinct[keyField] ?? [],
         mayBeStale: mayBeBehind(),
-        isTooStale: isOutdated(),
+        isTooStale: isTooStale(),
       }),
     tenantFields: (hasTenants) => (hasTenants ? ofTenants : NO_FIELDS),
     reservedFields: (hasTenants) => (hasTenants ? reservedWithTenants : reserved),
--- a/src/ingress/dispatch.test.ts
+++ b/src/ingress/dispatch.test.ts
@@ -8,7 +8,7 @@
 import { createCrashTracker } from '../quarantine/crashTracker.js';
 import { Dispatch } from './dispatch.js';
 import { createOfferLimit } from './offerLimit.js';
-import { createReturnTimes } from './returnTimes.js';
+import { createRetryAfterPacer } from './retryAfterPacer.js';
 import { SharedRetryBudget } from './shared-retry-budget.js';
 
 const answer = (status: number): OwnerOutcome => ({
@@ -49,28 +49,28 @@
     directory.put({ node, address: `10.0.0.1:${index}`, zone, service: 'desk' });
   });
   const task = ownerTask({ repeatable: options.repeatable ?? true });
-  const budget = new SharedRetryBudget(
+  const retryBudget = new SharedRetryBudget(
     () => ({ ratio: 0.2, windowMs: 10_000, slack: options.slack ?? 64 }),
     () => 1,
   );
-  const spill = createCrossZoneBudget();
-  while (spill.tryWithdraw()) {
+  const crossZoneBudget = createCrossZoneBudget();
+  while (crossZoneBudget.tryWithdraw()) {
     // A zone that is short of room has used its allowance up.
   }
-  const returns = createReturnTimes();
+  const retryAfterPacer = createRetryAfterPacer();
   const offerLimit = createOfferLimit();
-  const ledger = createCrashTracker();
+  const crashTracker = createCrashTracker();
   const context = {
     clock: { now: () => 0 },
     directory,
-    budget,
-    spill,
-    returns,
+    retryBudget,
+    crossZoneBudget,
+    retryAfterPacer,
     offerLimit,
-    ledger,
+    crashTracker,
   };
   if (options.slack === 0) {
-    budget.withdraw('desk', 0);
+    retryBudget.withdraw('desk', 0);
   }
   const { result } = await new Dispatch(
     context,
@@ -204,14 +204,14 @@
   const context = {
     clock: { now: () => 0 },
     directory,
-    budget: new SharedRetryBudget(
+    retryBudget: new SharedRetryBudget(
       () => bound,
       () => 1,
     ),
-    spill: createCrossZoneBudget(),
-    returns: createReturnTimes(),
+    crossZoneBudget: createCrossZoneBudget(),
+    retryAfterPacer: createRetryAfterPacer(),
     offerLimit: createOfferLimit(),
-    ledger: createCrashTracker(),
+    crashTracker: createCrashTracker(),
   };
   const result = new Dispatch(context, task, options.maxAttempts ?? 2, 0).run();
   return {
--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -29,11 +29,11 @@
 import {
   createDispatchRefusals,
   type DispatchRefusals,
-  type RequestFate,
+  type RequestProgress,
 } from './dispatchRefusals.js';
 import type { OfferLimit } from './offerLimit.js';
 import { createOwnerChoice, type OwnerChoice } from './ownerChoice.js';
-import type { ReturnTimes } from './returnTimes.js';
+import type { RetryAfterPacer } from './retryAfterPacer.js';
 import type { SharedRetryBudget } from './shared-retry-budget.js';
 
 const FIRST_FAILED_STATUS = 500;
@@ -58,13 +58,13 @@
 export interface DispatchContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
-  readonly budget: SharedRetryBudget;
-  readonly spill: CrossZoneBudget;
-  readonly returns: ReturnTimes;
+  readonly retryBudget: SharedRetryBudget;
+  readonly crossZoneBudget: CrossZoneBudget;
+  readonly retryAfterPacer: RetryAfterPacer;
   readonly offerLimit: OfferLimit;
-  readonly ledger: CrashTracker;
+  readonly crashTracker: CrashTracker;
   /** Left out where no roll-outs are followed. */
-  readonly shares?: VersionSelector | undefined;
+  readonly versionSelector?: VersionSelector | undefined;
 }
 
 /** One per request. */
@@ -79,7 +79,7 @@
   /** Back ends that the request has, or may have, been sent to. */
   private arrivals = 0;
   /** Owners of the own zone that had no room. */
-  private busyNear = 0;
+  private busyInZone = 0;
   /** True once a back end may have run the request. */
   private mayHaveRun = false;
   private lastNotRun: OwnerNotRun | undefined;
@@ -96,17 +96,25 @@
     bodyBytes: number,
     readonly mayServe?: OwnerCriteria['mayServe'],
   ) {
-    this.share = context.shares?.select(task.service, task.route) ?? UNRESTRICTED_SELECTION;
+    this.share =
+      context.versionSelector?.select(task.service, task.route) ?? UNRESTRICTED_SELECTION;
     // One for each request: naming the fields costs a fraction of what spreading the context does.
-    const { clock, directory, spill, returns, ledger } = context;
+    const { clock, directory, crossZoneBudget, retryAfterPacer, crashTracker } = context;
     const { share } = this;
-    this.choice = createOwnerChoice({ directory, spill, task, bodyBytes, mayServe, share });
+    this.choice = createOwnerChoice({
+      directory,
+      crossZoneBudget,
+      task,
+      bodyBytes,
+      mayServe,
+      share,
+    });
     this.key = crashKeyOf(task);
     this.refusals = createDispatchRefusals({
       clock,
       directory,
-      returns,
-      ledger,
+      retryAfterPacer,
+      crashTracker,
       service: task.service,
       key: this.key,
       mayServe,
@@ -124,9 +132,9 @@
 
   /** Runs to the final answer; the caller's timer may end it sooner by cancelling the task. */
   async run(): Promise<DispatchResult> {
-    this.context.budget.noteRequest(this.task.service, this.context.clock.now());
+    this.context.retryBudget.noteRequest(this.task.service, this.context.clock.now());
     if (this.choice.isLarge) {
-      this.context.spill.deposit();
+      this.context.crossZoneBudget.deposit();
     }
     for (;;) {
       if (this.running.size === this.silent.size) {
@@ -138,7 +146,7 @@
       }
       const outcome = await this.firstOutcome();
       if (outcome !== SILENT && outcome.kind === 'answer') {
-        this.context.returns.noteServed(this.task.service, this.context.clock.now());
+        this.context.retryAfterPacer.noteServed(this.task.service, this.context.clock.now());
         return this.end(outcome);
       }
     }
@@ -201,9 +209,9 @@
     }
     if (!this.context.offerLimit.allows(this.task.route, this.tried.size)) {
       const hasNoRoom = !this.mayHaveRun && this.lastNotRun?.reason === 'busy';
-      return hasNoRoom ? this.refusals.noRoom(this.fate) : this.giveUp('attempts-spent');
+      return hasNoRoom ? this.refusals.ownersBusy(this.fate) : this.giveUp('attempts-spent');
     }
-    if (this.arrivals > 0 && !this.context.budget.withdraw(this.task.service, now)) {
+    if (this.arrivals > 0 && !this.context.retryBudget.withdraw(this.task.service, now)) {
       return this.giveUp('retry-budget-spent');
     }
     return undefined;
@@ -213,28 +221,28 @@
     return this.refusals.giveUp(code, this.fate);
   }
 
-  private get fate(): RequestFate {
+  private get fate(): RequestProgress {
     return { mayHaveRun: this.mayHaveRun, lastNotRun: this.lastNotRun };
   }
 
   private chooseOwner(): OwnerEntry | undefined {
-    const { tried, busyNear } = this;
+    const { tried, busyInZone } = this;
     const isSuspect = this.standing === QuarantineStatus.Suspect;
-    return this.choice.next({ tried, busyNear, isSuspect, now: this.context.clock.now() });
+    return this.choice.next({ tried, busyInZone, isSuspect, now: this.context.clock.now() });
   }
 
   private get standing(): QuarantineStatus {
-    return this.context.ledger.statusOf(this.key, this.context.clock.now());
+    return this.context.crashTracker.statusOf(this.key, this.context.clock.now());
   }
 
   private offer(entry: OwnerEntry): void {
-    const earlier = this.tried.size;
+    const earlierOffers = this.tried.size;
     this.tried.add(entry);
     this.share.noteOffer(entry.record.node);
     // A suspect has this one owner to run at.
     const mayWait = this.choice.mayWaitAt(entry) || this.standing === QuarantineStatus.Suspect;
     const { clock } = this.context;
-    this.running.add(startAttempt({ entry, task: this.task, mayWait, clock, earlier }));
+    this.running.add(startAttempt({ entry, task: this.task, mayWait, clock, earlierOffers }));
   }
 
   /** The owner has the task: it counts as arrived, and may have run. */
@@ -252,11 +260,11 @@
     this.noteShare(entry, outcome);
     if (outcome.kind === 'answer' || (outcome.kind === 'not-run' && outcome.reason === 'busy')) {
       const isTaken = outcome.kind === 'answer';
-      this.context.offerLimit.note(this.task.route, attempt.earlier, isTaken);
+      this.context.offerLimit.noteOutcome(this.task.route, attempt.earlierOffers, isTaken);
     }
     if (outcome.kind === 'not-run') {
       const isBusyNear = outcome.reason === 'busy' && this.context.directory.isInOwnZone(entry);
-      this.busyNear += isBusyNear ? 1 : 0;
+      this.busyInZone += isBusyNear ? 1 : 0;
       this.lastNotRun = outcome;
       this.arrivals += outcome.arrived && !isCounted ? 1 : 0;
       const now = this.context.clock.now();
--- a/src/ingress/dispatchRefusals.ts
+++ b/src/ingress/dispatchRefusals.ts
@@ -4,7 +4,7 @@
 import type { OwnerNotRun } from '../owner/owner.js';
 import type { CrashTracker, RequestKey } from '../quarantine/crashTracker.js';
 import type { ClientRefusal } from './client-answer.js';
-import type { ReturnTimes } from './returnTimes.js';
+import type { RetryAfterPacer } from './retryAfterPacer.js';
 
 /** Told when an obstacle other than a lack of room was met, in milliseconds. */
 const MIN_RETRY_AFTER_MS = 20;
@@ -16,15 +16,15 @@
 export interface DispatchRefusalsContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
-  readonly returns: ReturnTimes;
-  readonly ledger: CrashTracker;
+  readonly retryAfterPacer: RetryAfterPacer;
+  readonly crashTracker: CrashTracker;
   readonly service: string;
   readonly key: RequestKey;
   readonly mayServe: OwnerCriteria['mayServe'];
 }
 
 /** What has become of the request so far. */
-export interface RequestFate {
+export interface RequestProgress {
   /** True once a back end may have run it. */
   readonly mayHaveRun: boolean;
   /** The newest word of an owner that did not run it. */
@@ -33,15 +33,15 @@
 
 export interface DispatchRefusals {
   /** No owner is left to ask: the request has not run unless an earlier offer may have. */
-  noOwner(fate: RequestFate): ClientRefusal;
+  noOwner(fate: RequestProgress): ClientRefusal;
   /** The owners that were asked are full: clients come back at the pace of what is served. */
-  noRoom(fate: RequestFate): ClientRefusal;
+  ownersBusy(fate: RequestProgress): ClientRefusal;
   /** It is not offered again. */
-  giveUp(code: ClientRefusal['code'], fate: RequestFate): ClientRefusal;
+  giveUp(code: ClientRefusal['code'], fate: RequestProgress): ClientRefusal;
 }
 
 export function createDispatchRefusals(context: DispatchRefusalsContext): DispatchRefusals {
-  const { clock, directory, returns, ledger, service, key, mayServe } = context;
+  const { clock, directory, retryAfterPacer, crashTracker, service, key, mayServe } = context;
 
   /** Milliseconds until some owner may be asked again; infinite when none is up. */
   const restMs = (): number => directory.backoffMs(service, clock.now());
@@ -53,23 +53,25 @@
     return mayServe !== undefined && isUp && !owners.some((entry) => mayServe(entry.record));
   };
 
-  const noRoom = ({ lastNotRun }: RequestFate): ClientRefusal => {
+  const ownersBusy = ({ lastNotRun }: RequestProgress): ClientRefusal => {
     const rest = restMs();
     const waitMs =
       lastNotRun?.retryAfterMs ?? (Number.isFinite(rest) ? rest : NO_OWNER_RETRY_AFTER_MS);
-    const retryAfterMs = returns.next(service, waitMs, clock.now());
+    const retryAfterMs = retryAfterPacer.nextRetryAfterMs(service, waitMs, clock.now());
     return { code: 'busy', status: 503, retryAfterMs };
   };
 
   const giveUp = (
     code: ClientRefusal['code'],
-    { mayHaveRun, lastNotRun }: RequestFate,
+    { mayHaveRun, lastNotRun }: RequestProgress,
   ): ClientRefusal => {
     if (mayHaveRun) {
       return { code, status: code === 'deadline' ? 504 : 502 };
     }
     const retryAfterMs =
-      code === 'quarantined' ? ledger.quarantineLeftMs(key, clock.now()) : lastNotRun?.retryAfterMs;
+      code === 'quarantined'
+        ? crashTracker.quarantineLeftMs(key, clock.now())
+        : lastNotRun?.retryAfterMs;
     return { code, status: 503, retryAfterMs: retryAfterMs ?? MIN_RETRY_AFTER_MS };
   };
 
@@ -83,10 +85,10 @@
       }
       const isBusy = fate.lastNotRun?.reason === 'busy';
       return isBusy || Number.isFinite(restMs())
-        ? noRoom(fate)
+        ? ownersBusy(fate)
         : { code: 'no-owner', status: 503, retryAfterMs: NO_OWNER_RETRY_AFTER_MS };
     },
-    noRoom,
+    ownersBusy,
     giveUp,
   };
 }
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -15,8 +15,8 @@
 import type { ClientAccess, ClientAccessContext } from './clientAccess.js';
 import { Dispatch, type DispatchContext } from './dispatch.js';
 import { ownerTaskOf } from './ownerTask.js';
-import { type OwnerCheck, placementOf } from './placement.js';
-import { hasBody, headBytes, takeBody } from './requestMessage.js';
+import { createPlacementFilter, type OwnerFilter } from './placementFilter.js';
+import { hasBody, headBytes, readBody } from './requestMessage.js';
 import type { RequestRecord } from './requestRecord.js';
 import { timeLimitOf } from './timeLimit.js';
 
@@ -35,14 +35,14 @@
 /** What the ingress needs of its node. */
 export interface IngressOptions extends DispatchContext, ClientAccessContext {
   readonly clock: Clock;
-  readonly alarms: SuspendAwareTimers;
+  readonly timers: SuspendAwareTimers;
   readonly routes: () => RouteMatcher | undefined;
   /** This node's own record. */
-  readonly own: () => OwnerRecord;
+  readonly ownRecord: () => OwnerRecord;
   /** Service that runs on this machine. */
   readonly callerService: () => string;
   /** Without one, no tenant is limited. */
-  readonly quotas?: QuotaGate | undefined;
+  readonly quotaGate?: QuotaGate | undefined;
   readonly onFinished: (record: RequestRecord) => void;
 }
 
@@ -58,7 +58,7 @@
   private hasTenants = false;
   private quota: QuotaRefusalDetails | undefined;
   /** Gives back what was taken of the tenant's quota. */
-  private giveBack = (): void => {};
+  private refundQuota = (): void => {};
   private fingerprint = '';
   private version = 0;
   private allowedMs = 0;
@@ -117,11 +117,11 @@
       return;
     }
     const { tenant } = this;
-    const decision = tenant && (await this.options.quotas?.admit(tenant));
+    const decision = tenant && (await this.options.quotaGate?.admit(tenant));
     if (decision && !this.isWithinQuota(decision, mayClose)) {
       return;
     }
-    const body = await takeBody(this.request, routes.configuration.limits);
+    const body = await readBody(this.request, routes.configuration.limits);
     if (body === 'too-large') {
       this.refuse({ code: 'too-large', status: 413 }, true);
     } else if (body && !this.isFinished && this.isStillAdmitted(routes, matched.route, mayClose)) {
@@ -153,10 +153,10 @@
 
   private isWithinQuota(decision: QuotaDecision, mayClose: () => boolean): boolean {
     if (decision.isAdmitted) {
-      this.giveBack = decision.refund;
+      this.refundQuota = decision.refund;
       if (this.isFinished) {
         // The client has left while holders were asked.
-        this.giveBack();
+        this.refundQuota();
       }
       return !this.isFinished;
     }
@@ -179,7 +179,7 @@
   private async bringToOwner(
     matched: MatchedRoute,
     body: MessageBody,
-    mayServe: OwnerCheck | undefined,
+    mayServe: OwnerFilter | undefined,
     mayClose: () => boolean,
   ): Promise<void> {
     const isStream = body.kind === 'stream';
@@ -204,12 +204,18 @@
   }
 
   /** The check of owners by the route's policies, undefined if it has none; Left: the path has no single reading. */
-  private placementFor(matched: MatchedRoute): ReturnType<typeof placementOf> {
+  private placementFor(matched: MatchedRoute): ReturnType<typeof createPlacementFilter> {
     const caller = {
       tenant: this.tenant?.name,
       hiddenFields: this.access.tenantFields(this.hasTenants),
     };
-    return placementOf(this.request, matched, this.service, this.options.own(), caller);
+    return createPlacementFilter(
+      this.request,
+      matched,
+      this.service,
+      this.options.ownRecord(),
+      caller,
+    );
   }
 
   private taskOf(matched: MatchedRoute, body: MessageBody): OwnerTask {
@@ -235,7 +241,7 @@
     const deadlineField = this.options.names.deadline.toLowerCase();
     const { allowedMs, code } = timeLimitOf(this.request, deadlineField, route);
     this.allowedMs = allowedMs;
-    this.cancelTimer = this.options.alarms.set(() => {
+    this.cancelTimer = this.options.timers.set(() => {
       // The dispatch knows whether the request may have run, and ends at once.
       this.cancellation.cancel();
       if (!this.dispatch) {
@@ -270,7 +276,7 @@
     this.cancelTimer();
     // 503 promises that it has not run; of a client that has left, an owner may still have the request.
     if (!this.dispatch || (code !== 'answered' && status === 503)) {
-      this.giveBack();
+      this.refundQuota();
     }
     this.options.onFinished({
       requestId: this.requestId,
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -15,9 +15,9 @@
 const DEFAULT_HEADER_TIMEOUT_MS = 10_000;
 
 /** Steady times in milliseconds of a planned stop. */
-export interface IngressStop {
+export interface ShutdownTimes {
   /** What arrives from now on must not be cut off. */
-  readonly promisedFrom: number;
+  readonly guaranteedFrom: number;
   /** Everything ends now, whether it is answered or not. */
   readonly endsAt: number;
 }
@@ -29,7 +29,7 @@
   private readonly pipelines = createPipelines();
   private active = 0;
   private accepting = true;
-  private stop: IngressStop | undefined;
+  private stop: ShutdownTimes | undefined;
 
   constructor(private readonly options: IngressOptions) {
     this.access = createClientAccess(options);
@@ -62,7 +62,7 @@
   }
 
   /** Answers from now on close their connection; what may not end in time is refused. */
-  startStopping(stop: IngressStop): void {
+  beginShutdown(stop: ShutdownTimes): void {
     this.stop = stop;
   }
 
@@ -105,7 +105,7 @@
   /** Steady time in milliseconds by which a request that is taken now must have ended. */
   private latestEnd(): number {
     const { stop } = this;
-    const isPromised = stop && this.options.clock.now() >= stop.promisedFrom;
+    const isPromised = stop && this.options.clock.now() >= stop.guaranteedFrom;
     return isPromised ? stop.endsAt : Number.POSITIVE_INFINITY;
   }
 
--- a/src/ingress/offerLimit.test.ts
+++ b/src/ingress/offerLimit.test.ts
@@ -17,7 +17,7 @@
     const limit = createOfferLimit(NEVER);
     expect(offersOf(limit)).toBe(8);
     for (let index = 0; index < 200; index += 1) {
-      limit.note('desk', 5, index % 4 === 0);
+      limit.noteOutcome('desk', 5, index % 4 === 0);
     }
     expect(offersOf(limit)).toBe(8);
   });
@@ -25,7 +25,7 @@
   it('falls to four where later offers are in vain, for that route alone', () => {
     const limit = createOfferLimit(NEVER);
     for (let index = 0; index < 100; index += 1) {
-      limit.note('desk', 5, false);
+      limit.noteOutcome('desk', 5, false);
     }
     expect(offersOf(limit)).toBe(4);
     expect(offersOf(limit, 'vault')).toBe(8);
@@ -35,11 +35,11 @@
     let probes = true;
     const limit = createOfferLimit(() => (probes ? 0 : 0.99));
     for (let index = 0; index < 100; index += 1) {
-      limit.note('desk', 5, false);
+      limit.noteOutcome('desk', 5, false);
     }
     expect(offersOf(limit)).toBe(8);
     for (let index = 0; index < 4; index += 1) {
-      limit.note('desk', 4, true);
+      limit.noteOutcome('desk', 4, true);
     }
     probes = false;
     expect(offersOf(limit)).toBe(8);
@@ -48,7 +48,7 @@
   it('falls to one where the second to fourth offers are in vain too, for that route alone', () => {
     const limit = createOfferLimit(NEVER);
     for (let index = 0; index < 100; index += 1) {
-      limit.note('desk', 1 + (index % 3), false);
+      limit.noteOutcome('desk', 1 + (index % 3), false);
     }
     expect(offersOf(limit)).toBe(1);
     expect(offersOf(limit, 'vault')).toBe(8);
@@ -57,8 +57,8 @@
   it('stays at four while one request in five finds room with the second to fourth', () => {
     const limit = createOfferLimit(NEVER);
     for (let index = 0; index < 300; index += 1) {
-      limit.note('desk', 5, false);
-      limit.note('desk', 1 + (index % 3), index % 15 === 0);
+      limit.noteOutcome('desk', 5, false);
+      limit.noteOutcome('desk', 1 + (index % 3), index % 15 === 0);
       expect(offersOf(limit)).toBeGreaterThanOrEqual(4);
     }
   });
@@ -66,7 +66,7 @@
   it('learns nothing from the first offer', () => {
     const limit = createOfferLimit(NEVER);
     for (let index = 0; index < 500; index += 1) {
-      limit.note('desk', 0, false);
+      limit.noteOutcome('desk', 0, false);
     }
     expect(offersOf(limit)).toBe(8);
   });
--- a/src/ingress/offerLimit.ts
+++ b/src/ingress/offerLimit.ts
@@ -35,7 +35,7 @@
 /** Kept by the ingress for each route: routes of other priorities find room elsewhere. */
 export interface OfferLimit {
   /** The offer after so many others was taken, or turned away for want of room. */
-  note(route: string, earlier: number, isTaken: boolean): void;
+  noteOutcome(route: string, earlier: number, isTaken: boolean): void;
   /** True when a request that has made so many offers may make one more. */
   allows(route: string, earlier: number): boolean;
 }
@@ -44,7 +44,7 @@
   const shares = new Map<Stage, Map<string, number>>(STAGES.map((stage) => [stage, new Map()]));
   const shareOf = (stage: Stage, route: string) => shares.get(stage)?.get(route) ?? 1;
   return {
-    note: (route, earlier, isTaken) => {
+    noteOutcome: (route, earlier, isTaken) => {
       const stage = STAGES.findLast(({ start }) => earlier >= start);
       if (stage) {
         const share = shareOf(stage, route);
--- a/src/ingress/ownerChoice.ts
+++ b/src/ingress/ownerChoice.ts
@@ -18,7 +18,7 @@
 /** What the choice is made from. */
 export interface OwnerChoiceContext {
   readonly directory: OwnerDirectory;
-  readonly spill: CrossZoneBudget;
+  readonly crossZoneBudget: CrossZoneBudget;
   readonly task: Pick<OwnerTask, 'service' | 'priority' | 'fingerprint'>;
   /** Size of the request's body; infinite when it is not known. */
   readonly bodyBytes: number;
@@ -31,7 +31,7 @@
 export interface ChoiceState {
   readonly tried: ReadonlySet<OwnerEntry>;
   /** Owners of the own zone that had no room. */
-  readonly busyNear: number;
+  readonly busyInZone: number;
   /** True if the request is to run alone, at the same owner whichever node it came to. */
   readonly isSuspect: boolean;
   /** Steady time in milliseconds. */
@@ -47,7 +47,7 @@
 }
 
 export function createOwnerChoice(context: OwnerChoiceContext): OwnerChoice {
-  const { directory, spill, task, bodyBytes, share } = context;
+  const { directory, crossZoneBudget, task, bodyBytes, share } = context;
   const { service, priority, fingerprint } = task;
   const isLarge = bodyBytes >= LARGE_BODY_BYTES;
 
@@ -69,10 +69,10 @@
   };
 
   const best = (
-    { tried, busyNear, now }: ChoiceState,
+    { tried, busyInZone, now }: ChoiceState,
     check: OwnerCriteria['mayServe'],
   ): OwnerEntry | undefined => {
-    const prefersOtherZones = !isLarge && busyNear >= BUSY_NEAR_OWNERS;
+    const prefersOtherZones = !isLarge && busyInZone >= BUSY_NEAR_OWNERS;
     const countedBytes = Math.min(bodyBytes, LONGEST_COUNTED_BODY_BYTES);
     const wish = {
       service,
@@ -85,7 +85,7 @@
     const entry = directory.choose(wish, tried, now);
     const leavesZone = entry !== undefined && !directory.isInOwnZone(entry);
     if (leavesZone && isLarge && directory.hasOwnerInOwnZone(wish)) {
-      return spill.tryWithdraw() ? entry : undefined;
+      return crossZoneBudget.tryWithdraw() ? entry : undefined;
     }
     return entry;
   };
--- a/src/ingress/placement.ts
+++ b/src/ingress/placementFilter.ts
@@ -6,7 +6,7 @@
 import type { MatchedRoute } from '../routing/route-matcher.js';
 
 /** Says whether an owner may serve the request. */
-export type OwnerCheck = (record: OwnerRecord) => boolean;
+export type OwnerFilter = (record: OwnerRecord) => boolean;
 
 /** Who sends a request, as far as policies may ask. */
 export interface PolicyCaller {
@@ -22,13 +22,13 @@
  * The check for one request; undefined where the route has no policies, so that it costs nothing.
  * Left: the path can be read in more than one way, and the back end might read another one.
  */
-export function placementOf(
+export function createPlacementFilter(
   request: RequestHead,
   { route, policies }: MatchedRoute,
   service: string,
   own: OwnerRecord,
   { tenant = '', hiddenFields }: PolicyCaller = NO_CALLER,
-): Either<string, OwnerCheck | undefined> {
+): Either<string, OwnerFilter | undefined> {
   if (policies.length === 0) {
     return Right(undefined);
   }
--- a/src/ingress/requestMessage.ts
+++ b/src/ingress/requestMessage.ts
@@ -20,7 +20,7 @@
 }
 
 /** The whole body, or its beginning when it is long; undefined when it broke off. */
-export async function takeBody(
+export async function readBody(
   request: http.IncomingMessage,
   limits: MeshLimits,
 ): Promise<MessageBody | 'too-large' | undefined> {
--- a/src/ingress/returnTimes.ts
+++ b/src/ingress/retryAfterPacer.ts
@@ -23,14 +23,14 @@
 }
 
 /** Kept for each service by the ingress; `now` is a steady time in milliseconds. */
-export interface ReturnTimes {
+export interface RetryAfterPacer {
   /** A request has its answer from a back end. */
   noteServed(service: string, now: number): void;
   /** Milliseconds after which a client is to come back; `waitMs` is when there may be room at all. */
-  next(service: string, waitMs: number, now: number): number;
+  nextRetryAfterMs(service: string, waitMs: number, now: number): number;
 }
 
-export function createReturnTimes(): ReturnTimes {
+export function createRetryAfterPacer(): RetryAfterPacer {
   const lines = new Map<string, Line>();
   const lineOf = (service: string): Line => {
     const known = lines.get(service);
@@ -46,7 +46,7 @@
   };
   return {
     noteServed: (service, now) => lineOf(service).served.add(now),
-    next: (service, waitMs, now) => {
+    nextRetryAfterMs: (service, waitMs, now) => {
       const line = lineOf(service);
       const served = line.served.upperBound(now);
       // Before anything has been served, the pace is not known.
--- a/src/ingress/shared-retry-budget.ts
+++ b/src/ingress/shared-retry-budget.ts
@@ -12,7 +12,7 @@
 } from '../model/slidingWindowCounter.js';
 
 /** The bound that all nodes keep together. */
-export interface BudgetBound {
+export interface RetryBudgetBounds {
   /** Repeats for each request. */
   readonly ratio: number;
   readonly windowMs: number;
@@ -35,7 +35,7 @@
   private mostNodes = 1;
 
   constructor(
-    private readonly bound: () => BudgetBound,
+    private readonly bound: () => RetryBudgetBounds,
     /** Nodes that share the slack; infinite while they are not known. */
     private readonly nodes: () => number,
   ) {}
@@ -47,7 +47,7 @@
 
   /** Takes one repeat; false when the budget is spent. */
   withdraw(service: string, now: number): boolean {
-    if (this.left(service, now) < 1) {
+    if (this.remaining(service, now) < 1) {
       return false;
     }
     this.countsOf(service).repeats.add(now);
@@ -55,7 +55,7 @@
   }
 
   /** Repeats that are left for a service in the window that ends now. */
-  left(service: string, now: number): number {
+  remaining(service: string, now: number): number {
     const { ratio, slack } = this.bound();
     const { requests, repeats } = this.countsOf(service);
     const earned = ratio * USED_SHARE * requests.lowerBound(now);
--- a/src/sidecar/planned-stop.ts
+++ b/src/sidecar/planned-stop.ts
@@ -51,7 +51,7 @@
     }
   };
   const endsAt = startedAt + graceMs * (1 - MARGIN_SHARE);
-  ingress.startStopping({ promisedFrom: startedAt + PROMISED_AFTER_MS, endsAt });
+  ingress.beginShutdown({ guaranteedFrom: startedAt + PROMISED_AFTER_MS, endsAt });
   await waitUntil(() => false, graceMs * TASKS_SHARE);
   lifecycle.send(LifecycleEvent.NoticeGiven);
   owner.stopAdmitting();
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -12,7 +12,7 @@
 import { createQuarantineSync, type QuarantineSync } from '../directory/quarantineSync.js';
 import { IngressServer } from '../ingress/ingress-server.js';
 import { createOfferLimit } from '../ingress/offerLimit.js';
-import { createReturnTimes } from '../ingress/returnTimes.js';
+import { createRetryAfterPacer } from '../ingress/retryAfterPacer.js';
 import { SharedRetryBudget } from '../ingress/shared-retry-budget.js';
 import { createSuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { LocalOwner } from '../owner/local-owner.js';
@@ -61,7 +61,7 @@
 export function createSidecarParts(context: SidecarPartsContext): SidecarParts {
   const { settings, outside, clocks, log, metrics } = context;
   const { clock, freshnessClock: beliefClock } = clocks;
-  const alarms = createSuspendAwareTimers(clocks);
+  const timers = createSuspendAwareTimers(clocks);
   const { names } = outside;
   const { zone } = settings();
 
@@ -91,7 +91,7 @@
   const owner = new LocalOwner({
     clock,
     beliefClock,
-    timers: alarms,
+    timers,
     ledger,
     onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
     onCrashAnnouncement: (news) => quarantines.publish(news),
@@ -198,24 +198,24 @@
 
   const ingress = new IngressServer({
     clock,
-    alarms,
+    timers,
     names,
     directory,
-    budget: new SharedRetryBudget(() => settings().retryBudget, nodes),
-    spill: createCrossZoneBudget(),
-    returns: createReturnTimes(),
+    retryBudget: new SharedRetryBudget(() => settings().retryBudget, nodes),
+    crossZoneBudget: createCrossZoneBudget(),
+    retryAfterPacer: createRetryAfterPacer(),
     offerLimit: createOfferLimit(),
-    ledger,
-    shares: rollouts?.shares,
+    crashTracker: ledger,
+    versionSelector: rollouts?.shares,
     routes: () => configuration.routes,
     mayBeBehind: () => configuration.mayBeStale,
-    isOutdated: () => {
+    isTooStale: () => {
       const { revocation } = settings();
       return revocation?.isStrict === true && configuration.maxStalenessMs > revocation.withinMs;
     },
     callerService: () => settings().service,
-    own: record,
-    quotas: quotas.gate,
+    ownRecord: record,
+    quotaGate: quotas.gate,
     onFinished: (request) => recordRequest({ log, metrics, tenantUse }, request),
   });
 
