--- a/lab/labOutside.ts
+++ b/lab/labOutside.ts
@@ -2,7 +2,7 @@
 import { PLATFORM_ROLLOUTS } from '../platform/rollouts.js';
 import type { OperatorOutside } from '../src/cli/operatorOutside.js';
 import { DEFAULT_HEADER_NAMES } from '../src/owner/header-names.js';
-import type { Outside, Registration } from '../src/sidecar/outside.js';
+import type { PlatformAdapter, Registration } from '../src/sidecar/platformAdapter.js';
 import type { ConfigurationCandidate } from '../src/source/configuration-holder.js';
 import type { ObjectStore } from '../src/source/object-store.js';
 
@@ -16,7 +16,7 @@
 } as const;
 
 /** For sidecars. */
-export function labOutside(store: ObjectStore): Outside {
+export function labOutside(store: ObjectStore): PlatformAdapter {
   return {
     ...CONFIGURATION,
     store,
--- a/src/owner/back-end-presence.test.ts
+++ b/src/owner/back-end-presence.test.ts
@@ -39,7 +39,7 @@
   const ready = new Promise<void>((resolve) => {
     presence = new BackEndPresence(
       {
-        beliefClock: { now: () => now },
+        freshnessClock: { now: () => now },
         names: DEFAULT_HEADER_NAMES,
         service: () => 'desk',
         backEndAddress: () => application.address,
--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -26,7 +26,7 @@
 /** What the presence needs of its node. */
 export interface BackEndPresenceOptions {
   /** For what is believed of the back end. */
-  readonly beliefClock: Clock;
+  readonly freshnessClock: Clock;
   readonly names: HeaderNames;
   /** Service that the settings name for this machine. */
   readonly service: () => string;
@@ -98,7 +98,7 @@
 
   /** Why a task that was admitted may not be sent any more, if so. */
   sendRejectionReason(): NotRunReason | undefined {
-    return this.options.beliefClock.now() >= this.sendUntil ? 'draining' : undefined;
+    return this.options.freshnessClock.now() >= this.sendUntil ? 'draining' : undefined;
   }
 
   /**
@@ -109,7 +109,7 @@
     if (beat.service !== this.backEnd?.service && !this.options.isServiceConfigured(beat.service)) {
       return false;
     }
-    const result = this.registry.heartbeat(beat, this.options.beliefClock.now());
+    const result = this.registry.heartbeat(beat, this.options.freshnessClock.now());
     if (result === 'unverified') {
       this.checkHealthIfNeeded();
     } else if (result === 'applied' && this.isPresent(beat)) {
@@ -163,12 +163,12 @@
 
   /** Once in a life: what it says of its drain later moves no bound that was acknowledged. */
   private beginDrain(): void {
-    const { beliefClock, drainMs } = this.options;
+    const { freshnessClock, drainMs } = this.options;
     this.drainTimer = setTimeout(
       () => this.listener.onUnavailable(),
       drainMs() * DRAIN_QUEUE_SHARE,
     );
-    this.sendUntil = beliefClock.now() + drainMs() * DRAIN_SEND_SHARE;
+    this.sendUntil = freshnessClock.now() + drainMs() * DRAIN_SEND_SHARE;
   }
 
   /** Asks the back end who it is while that is not known. */
@@ -204,7 +204,7 @@
       // The address may have gone to another service: only a heartbeat can tell.
       return;
     }
-    const now = this.options.beliefClock.now();
+    const now = this.options.freshnessClock.now();
     const fallback = {
       service,
       address,
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -247,7 +247,7 @@
   }
 
   private noteRun(call: Omit<EndedCall, 'currentBackEnd' | 'now'>): void {
-    const now = this.options.beliefClock.now();
+    const now = this.options.freshnessClock.now();
     const run = backEndRunOf({ ...call, currentBackEnd: this.presence.backEnd, now });
     if (run) {
       this.options.onRun?.(run);
--- a/src/sidecar/sidecarCalls.ts
+++ b/src/sidecar/auxiliaryHandlers.ts
@@ -3,8 +3,8 @@
 import type { SidecarGauges, SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
 import { EntryKind, type NoteUnreadable } from '../diagnostics/unreadableLog.js';
 import type { LocalOwner } from '../owner/local-owner.js';
-import type { Outside } from './outside.js';
-import type { SmallAnswer, SmallHandler } from './small-server.js';
+import type { AuxiliaryHandler, AuxiliaryResponse } from './auxiliaryServer.js';
+import type { PlatformAdapter } from './platformAdapter.js';
 
 /** Path and media type of the metrics (Prometheus text format, version 0.0.4). */
 const METRICS_PATH = '/metrics';
@@ -13,11 +13,11 @@
 const JSON_TYPE = 'application/json';
 
 /** `gauges` reads the values of the moment, `totals` bytes since the start. */
-export function metricsHandler(
+export function createMetricsHandler(
   metrics: SidecarMetrics,
   gauges: () => SidecarGauges,
   totals: TrafficTotals,
-): SmallHandler {
+): AuxiliaryHandler {
   return async ({ path }) => {
     if (path.split('?')[0] !== METRICS_PATH) {
       return { status: 404, contentType: 'text/plain', body: 'see /metrics\n' };
@@ -26,23 +26,26 @@
   };
 }
 
-export function readinessHandler(outside: Outside, isReady: () => boolean): SmallHandler {
+export function createReadinessHandler(
+  platform: PlatformAdapter,
+  isReady: () => boolean,
+): AuxiliaryHandler {
   return ({ method, path }) => {
     const ready = isReady();
-    const isKnown = outside.isReadinessCall(method, path);
+    const isKnown = platform.isReadinessCall(method, path);
     const status = isKnown ? (ready ? 200 : 503) : 404;
     return { status, contentType: JSON_TYPE, body: `{"ready":${ready}}` };
   };
 }
 
 /** Calls of the back end beside the node; what they tell is in force before they are answered. */
-export function registrationHandler(
-  outside: Outside,
+export function createRegistrationHandler(
+  platform: PlatformAdapter,
   owner: Pick<LocalOwner, 'heartbeat' | 'deregister'>,
   noteUnreadable: NoteUnreadable,
-): SmallHandler {
+): AuxiliaryHandler {
   return ({ method, path, body }) => {
-    const registration = outside.decodeRegistration(method, path, body);
+    const registration = platform.decodeRegistration(method, path, body);
     switch (registration.kind) {
       case 'heartbeat':
         if (!owner.heartbeat(registration.beat)) {
@@ -60,6 +63,6 @@
   };
 }
 
-function answerOf(status: number): SmallAnswer {
+function answerOf(status: number): AuxiliaryResponse {
   return { status, contentType: JSON_TYPE, body: '{}' };
 }
--- a/src/sidecar/small-server.ts
+++ b/src/sidecar/auxiliaryServer.ts
@@ -7,28 +7,30 @@
 const MAX_BODY_BYTES = 64 * 1024;
 
 /** A call as it came, read whole. */
-export interface SmallCall {
+export interface AuxiliaryRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
 }
 
 /** Answer to a small call. */
-export interface SmallAnswer {
+export interface AuxiliaryResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
 /** Handles calls whose bodies are small. */
-export type SmallHandler = (call: SmallCall) => SmallAnswer | Promise<SmallAnswer>;
+export type AuxiliaryHandler = (
+  call: AuxiliaryRequest,
+) => AuxiliaryResponse | Promise<AuxiliaryResponse>;
 
 /** Serves small calls; a handler that fails answers 500. */
-export class SmallServer {
+export class AuxiliaryServer {
   private readonly server: http.Server;
 
   constructor(
-    private readonly handler: SmallHandler,
+    private readonly handler: AuxiliaryHandler,
     private readonly onError: (path: string, error: unknown) => void,
   ) {
     this.server = http.createServer((request, response) => void this.serve(request, response));
@@ -57,7 +59,7 @@
     response.end(answer.body);
   }
 
-  private async answerTo(request: http.IncomingMessage, body: Buffer): Promise<SmallAnswer> {
+  private async answerTo(request: http.IncomingMessage, body: Buffer): Promise<AuxiliaryResponse> {
     try {
       return await this.handler({
         method: request.method ?? 'GET',
--- a/src/sidecar/planned-stop.ts
+++ b/src/sidecar/gracefulShutdown.ts
@@ -32,7 +32,7 @@
 const PROMISED_AFTER_MS = 3_000;
 
 /** What is stopped. */
-export interface StoppedParts {
+export interface ShutdownContext {
   readonly clock: Clock;
   readonly ingress: IngressServer;
   readonly owner: LocalOwner;
@@ -42,7 +42,7 @@
 }
 
 /** Resolves when nothing is in flight, or just before the end of the grace. */
-export async function finishWork(parts: StoppedParts): Promise<void> {
+export async function shutDownGracefully(parts: ShutdownContext): Promise<void> {
   const { clock, ingress, owner, graceMs, lifecycle } = parts;
   const startedAt = clock.now();
   const waitUntil = async (condition: () => boolean, atMs: number) => {
--- a/src/sidecar/outside.ts
+++ b/src/sidecar/platformAdapter.ts
@@ -8,7 +8,7 @@
 import type { ObjectStore } from '../source/object-store.js';
 
 /** What the deployment brings: how the outside speaks. */
-export interface Outside {
+export interface PlatformAdapter {
   readonly store: ObjectStore;
   readonly names: HeaderNames;
   /** Kind and name of the configuration object. */
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -20,7 +20,7 @@
   readonly reads: PooledPeerClient;
   readonly routes: () => RouteMatcher | undefined;
   /** True once the other nodes are known: a node that knew itself alone would hold whole limits. */
-  readonly isListed: () => boolean;
+  readonly isDirectorySynced: () => boolean;
 }
 
 export interface QuotaPart {
@@ -49,7 +49,7 @@
 };
 
 export function createQuotaPart(context: QuotaPartContext): QuotaPart {
-  const { settings, clock, directory, reads, routes, isListed } = context;
+  const { settings, clock, directory, reads, routes, isDirectorySynced } = context;
   const { node, zone, quota: bounds } = settings();
   if (!bounds) {
     return NO_QUOTAS;
@@ -61,7 +61,7 @@
 
   const refresh = (): void => {
     const configuration = routes()?.configuration;
-    if (!configuration?.tenants.length || !isListed()) {
+    if (!configuration?.tenants.length || !isDirectorySynced()) {
       return;
     }
     const { version, tenants } = configuration;
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -29,20 +29,20 @@
 
 export interface RolloutParts {
   readonly sync: RolloutSync;
-  readonly shares: VersionSelector;
+  readonly versionSelector: VersionSelector;
 }
 
 export function createRolloutParts(context: RolloutPartsContext): RolloutParts | undefined {
-  const { settings, outside, clocks, log, metrics, relay, directory, owner, record, nodes } =
+  const { settings, platform, clocks, log, metrics, relay, directory, owner, record, nodes } =
     context;
-  if (!settings().rollout || !outside.rollouts) {
+  if (!settings().rollout || !platform.rollouts) {
     return undefined;
   }
   const sync = createRolloutSync({
     ...context,
     clock: clocks.freshnessClock,
     store: relay.store,
-    codec: outside.rollouts,
+    codec: platform.rollouts,
     own: record,
     backEnd: () => {
       const { service, backEndVersion, ready, slots, inFlight, queued } = owner.report;
@@ -59,7 +59,7 @@
     onChange: (change) => recordRollout({ log, metrics }, change),
   });
   const { rollouts } = sync;
-  const shares = createVersionSelector({
+  const versionSelector = createVersionSelector({
     clock: clocks.clock,
     bounds: () => settings().rollout,
     applyMs: () => settings().configurationApplyMs,
@@ -73,5 +73,5 @@
     isSynced: () => rollouts.isSynced,
     withdrawn: rollouts.withdrawn,
   });
-  return { sync, shares };
+  return { sync, versionSelector };
 }
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -7,13 +7,17 @@
 import type { NodeClocks } from '../model/nodeClocks.js';
 import type { OwnerReport } from '../owner/owner-report.js';
 import type { RouteMatcher } from '../routing/route-matcher.js';
+import {
+  createMetricsHandler,
+  createReadinessHandler,
+  createRegistrationHandler,
+} from './auxiliaryHandlers.js';
+import { type AuxiliaryHandler, AuxiliaryServer } from './auxiliaryServer.js';
+import { shutDownGracefully } from './gracefulShutdown.js';
 import { createLifecycle, type Lifecycle, LifecycleEvent, LifecycleState } from './lifecycle.js';
-import type { Outside } from './outside.js';
-import { finishWork } from './planned-stop.js';
+import type { PlatformAdapter } from './platformAdapter.js';
 import type { SidecarSettings } from './sidecar-settings.js';
-import { metricsHandler, readinessHandler, registrationHandler } from './sidecarCalls.js';
 import { createSidecarParts, type SidecarParts } from './sidecarParts.js';
-import { type SmallHandler, SmallServer } from './small-server.js';
 
 /** The configuration is read this long after the directory at the latest, in milliseconds. */
 const DIRECTORY_HEAD_START_MS = 300;
@@ -41,9 +45,9 @@
 /** One per process. */
 export class SidecarNode {
   private readonly parts: SidecarParts;
-  private readonly readiness: SmallServer;
-  private readonly registrations: SmallServer;
-  private readonly metricsServer: SmallServer;
+  private readonly readiness: AuxiliaryServer;
+  private readonly registrations: AuxiliaryServer;
+  private readonly metricsServer: AuxiliaryServer;
   private readonly lifecycle: Lifecycle;
   private readonly clock: Clock;
   /** Steady time in milliseconds since which the configuration is in force. */
@@ -51,7 +55,7 @@
 
   constructor(
     private settings: SidecarSettings,
-    private readonly outside: Outside,
+    private readonly platform: PlatformAdapter,
     clocks: NodeClocks,
     private readonly log: DecisionLog,
     metrics: SidecarMetrics,
@@ -60,7 +64,7 @@
     clocks.onResume((sleptMs) => log.event('woken', { sleptMs: Math.round(sleptMs) }));
     this.parts = createSidecarParts({
       settings: () => this.settings,
-      outside,
+      platform,
       clocks,
       log,
       metrics,
@@ -72,16 +76,16 @@
     this.lifecycle = createLifecycle((state) => {
       log.event('lifecycle', { state, inFlight: this.parts.ingress.inFlight });
     });
-    const serve = (handler: SmallHandler) =>
-      new SmallServer(handler, (path, error) =>
+    const serve = (handler: AuxiliaryHandler) =>
+      new AuxiliaryServer(handler, (path, error) =>
         log.event('unexpected', { path, error: String(error) }),
       );
     this.metricsServer = serve(
-      metricsHandler(metrics, () => this.gauges(), this.parts.load.totals),
+      createMetricsHandler(metrics, () => this.gauges(), this.parts.usageReporter.totals),
     );
-    this.readiness = serve(readinessHandler(outside, () => this.isReady));
+    this.readiness = serve(createReadinessHandler(platform, () => this.isReady));
     this.registrations = serve(
-      registrationHandler(outside, this.parts.owner, this.parts.noteUnreadable),
+      createRegistrationHandler(platform, this.parts.owner, this.parts.noteUnreadable),
     );
   }
 
@@ -146,14 +150,14 @@
     void this.parts.sync.publish();
   }
 
-  /** Planned stop; see `finishWork`. */
+  /** Planned stop; see `shutDownGracefully`. */
   async stop(): Promise<void> {
     this.lifecycle.send(LifecycleEvent.Stop);
     const { clock, lifecycle, log } = this;
     const { ingress, owner, sync, configuration } = this.parts;
     const { graceMs } = this.settings;
     log.event('stopping', { inFlight: ingress.inFlight, version: configuration.version });
-    await finishWork({ clock, ingress, owner, graceMs, lifecycle });
+    await shutDownGracefully({ clock, ingress, owner, graceMs, lifecycle });
     await Promise.race([
       sync.stop(owner.isDraining),
       new Promise((resolve) => setTimeout(resolve, REMOVE_TIMEOUT_MS)),
@@ -164,9 +168,9 @@
 
   /** Closes everything at once. */
   close(): void {
-    const { owner, directory, sync, configuration, ingress, peers, reads, relay, load } =
+    const { owner, directory, sync, configuration, ingress, peers, reads, relay, usageReporter } =
       this.parts;
-    load.stop();
+    usageReporter.stop();
     this.parts.quarantines.stop();
     this.parts.rollouts?.sync.stop();
     this.parts.quotas.stop();
@@ -183,7 +187,7 @@
     relay.stop();
     configuration.stop();
     void sync.stop(false);
-    this.outside.store.close();
+    this.platform.store.close();
   }
 
   /** A node that knows its zone can ask its reader: the directory's first list goes first. */
@@ -213,7 +217,7 @@
   private gauges(): SidecarGauges {
     const { version, owner, inFlight, ownersPresent, ownersAbsent, storeConnected } = this.status;
     const { rollouts } = this.parts;
-    const rolledOut = rollouts?.shares.totals;
+    const rolledOut = rollouts?.versionSelector.totals;
     return {
       requests_in_flight: inFlight,
       owner_running: owner.inFlight,
@@ -225,7 +229,7 @@
       owner_back_end_waiting: owner.waiting,
       owners_present: ownersPresent,
       owners_absent: ownersAbsent,
-      quarantined_requests: this.parts.ledger.quarantined(this.clock.now()).length,
+      quarantined_requests: this.parts.crashTracker.quarantined(this.clock.now()).length,
       rollouts_running: rollouts?.sync.rollouts.runningServices.length ?? 0,
       rollout_requests: rolledOut?.requests ?? 0,
       rollout_offers: rolledOut?.offers ?? 0,
--- a/src/sidecar/sidecar-process.ts
+++ b/src/sidecar/sidecar-process.ts
@@ -3,7 +3,7 @@
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
 import type { NodeClocks } from '../model/nodeClocks.js';
-import type { Outside } from './outside.js';
+import type { PlatformAdapter } from './platformAdapter.js';
 import { SidecarNode } from './sidecar-node.js';
 import { checkSidecarSettings, type SidecarSettings } from './sidecar-settings.js';
 
@@ -21,7 +21,7 @@
   readonly settingsFile: string;
   /** Reads the settings file into the product's settings, unchecked; may throw. */
   readonly readSettings: () => Promise<unknown>;
-  readonly outside: Outside;
+  readonly platform: PlatformAdapter;
 }
 
 /** Runs until SIGTERM. */
@@ -31,7 +31,7 @@
     process.exitCode = EXIT_SETTINGS;
     return;
   }
-  const node = new SidecarNode(settings, parts.outside, parts.clocks, parts.log, parts.metrics);
+  const node = new SidecarNode(settings, parts.platform, parts.clocks, parts.log, parts.metrics);
   process.on('SIGTERM', () => {
     void node.stop().finally(() => process.exit(0));
   });
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -45,13 +45,13 @@
   readonly quarantines: QuarantineSync;
   /** Undefined where no roll-outs are followed. */
   readonly rollouts: RolloutParts | undefined;
-  readonly ledger: CrashTracker;
+  readonly crashTracker: CrashTracker;
   readonly configuration: ConfigurationFollower;
   readonly ingress: IngressServer;
   readonly peers: PeerServer;
   readonly reads: PooledPeerClient;
   readonly relay: ZoneRelay;
-  readonly load: LoadLine;
+  readonly usageReporter: LoadLine;
   readonly noteUnreadable: NoteUnreadable;
   readonly quotas: QuotaPart;
   /** This node's own record, as the other nodes get it. */
@@ -59,23 +59,23 @@
 }
 
 export function createSidecarParts(context: SidecarPartsContext): SidecarParts {
-  const { settings, outside, clocks, log, metrics } = context;
-  const { clock, freshnessClock: beliefClock } = clocks;
+  const { settings, platform, clocks, log, metrics } = context;
+  const { clock, freshnessClock } = clocks;
   const timers = createSuspendAwareTimers(clocks);
-  const { names } = outside;
+  const { names } = platform;
   const { zone } = settings();
 
-  const load = startLoadLine(log);
+  const usageReporter = startLoadLine(log);
   const onSent = (kind: MessageKind, bytes: number) => {
-    load.noteSent(MessageKind[kind], bytes);
+    usageReporter.noteSent(MessageKind[kind], bytes);
   };
 
-  outside.store.onReceived = (kind, bytes) => {
-    load.noteReceived(kind, bytes);
+  platform.store.onReceived = (kind, bytes) => {
+    usageReporter.noteReceived(kind, bytes);
   };
 
   const noteUnreadable = createUnreadableLog(clock, log);
-  outside.store.onUnreadable = (kind, reason) =>
+  platform.store.onUnreadable = (kind, reason) =>
     noteUnreadable(EntryKind.StoreObject, kind, reason);
 
   const record = () => ownRecordOf(settings());
@@ -87,12 +87,12 @@
   const onStore = (use: string) => (connected: boolean, detail: string, cause?: string) =>
     log.event('store', { use, connected, detail, cause, version: configuration.version });
 
-  const ledger = createCrashTracker();
+  const crashTracker = createCrashTracker();
   const owner = new LocalOwner({
     clock,
-    beliefClock,
+    freshnessClock,
     timers,
-    ledger,
+    ledger: crashTracker,
     onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
     onCrashAnnouncement: (news) => quarantines.publish(news),
     names,
@@ -120,15 +120,15 @@
     sender,
     report,
     onSent,
-    onReply: (tookMs) => load.noteReply(tookMs),
+    onReply: (tookMs) => usageReporter.noteReply(tookMs),
     onVersion: (address, version) => configuration.noteVersion(address, version),
   });
   const directory = new OwnerDirectory(zone, entryOf, Math.random, settings().linkMbps);
   directory.put(record());
 
   const reads = createPooledPeerClient(sender, onSent);
-  const relay = createRelayPart({ ...context, load, directory, reads, record });
-  outside.store.onEra = relay.noteEra;
+  const relay = createRelayPart({ ...context, usageReporter, directory, reads, record });
+  platform.store.onEra = relay.noteEra;
 
   const caller = new PeerClient(sender, report, onSent);
   const broadcast = createAnnouncementBroadcast({ directory, caller, own: record });
@@ -153,7 +153,7 @@
   const quarantines = createQuarantineSync({
     clock,
     store: relay.store,
-    ledger,
+    ledger: crashTracker,
     directory,
     broadcast,
     own: record,
@@ -191,7 +191,7 @@
     directory,
     reads,
     routes: () => configuration.routes,
-    isListed: () => sync.isSynced,
+    isDirectorySynced: () => sync.isSynced,
   });
 
   const tenantUse = createTenantUsageCounter(clock);
@@ -205,8 +205,8 @@
     crossZoneBudget: createCrossZoneBudget(),
     retryAfterPacer: createRetryAfterPacer(),
     offerLimit: createOfferLimit(),
-    crashTracker: ledger,
-    versionSelector: rollouts?.shares,
+    crashTracker,
+    versionSelector: rollouts?.versionSelector,
     routes: () => configuration.routes,
     mayBeBehind: () => configuration.mayBeStale,
     isTooStale: () => {
@@ -262,13 +262,13 @@
     sync,
     quarantines,
     rollouts,
-    ledger,
+    crashTracker,
     configuration,
     ingress,
     peers,
     reads,
     relay,
-    load,
+    usageReporter,
     noteUnreadable,
     quotas,
     record,
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -11,7 +11,7 @@
 import { createDependencyLoader } from '../source/dependencyLoader.js';
 import { ObservedStore } from '../source/observed-store.js';
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
-import { createZoneMembership } from './zoneMembership.js';
+import { createZoneAssignment } from './zoneAssignment.js';
 
 /** A configuration is asked of another node for at the most this long, in milliseconds. */
 const PEER_CONFIGURATION_TIMEOUT_MS = 1_000;
@@ -25,32 +25,33 @@
 
 /** What the relay needs besides. */
 export interface RelayPartContext extends SidecarPartsContext {
-  readonly load: LoadLine;
+  readonly usageReporter: LoadLine;
   readonly directory: OwnerDirectory;
   readonly reads: PooledPeerClient;
   readonly record: () => OwnerRecord;
 }
 
 export function createRelayPart(context: RelayPartContext): ZoneRelay {
-  const { settings, outside, clocks, log, metrics, load, directory, reads, record } = context;
+  const { settings, platform, clocks, log, metrics, usageReporter, directory, reads, record } =
+    context;
   return createZoneRelay({
     clock: clocks.freshnessClock,
     store: new ObservedStore(
-      outside.store,
+      platform.store,
       () => clocks.clock.now(),
       (operation, result) => metrics.storeCalled(operation, result),
     ),
     ownRecord: { kind: NODE_KIND, name: settings().node },
-    configurationKind: outside.configurationKind,
+    configurationKind: platform.configurationKind,
     applyMs: settings().configurationApplyMs,
-    zoneAssignment: createZoneMembership({ clock: clocks.clock, directory, own: record }),
+    zoneAssignment: createZoneAssignment({ clock: clocks.clock, directory, own: record }),
     readPeer: (address, question, timeoutMs) => reads.read(address, question, timeoutMs),
     onReaderChange: (reader, cause) => log.event('zone-reader', { reader, cause }),
     onReachabilityChange: (isReached, detail) => log.event('store-reach', { isReached, detail }),
     onEraChange: (era, before) => log.event('store-era', { era, before }),
     onMissedChanges: (kind, revision) => log.event('watch-silent', { kind, revision }),
     onAnswer: (kind, bytes) => {
-      load.noteRelayed(kind, bytes);
+      usageReporter.noteRelayed(kind, bytes);
     },
   });
 }
@@ -64,7 +65,7 @@
 }
 
 export function createConfigurationPart(context: ConfigurationPartContext): ConfigurationFollower {
-  const { settings, outside, clocks, log, relay, directory, caller, onApplied, onConnected } =
+  const { settings, platform, clocks, log, relay, directory, caller, onApplied, onConnected } =
     context;
   const fetchPeerVersions = async (): Promise<PeerVersion[]> => {
     const { node } = settings();
@@ -83,12 +84,12 @@
     clock: clocks.freshnessClock,
     store: relay.store,
     storeReachableAt: () => relay.store.answeredAt,
-    kind: outside.configurationKind,
-    name: outside.configurationName,
+    kind: platform.configurationKind,
+    name: platform.configurationName,
     applyDeadlineMs: settings().configurationApplyMs,
     debounceMs: () => relay.debounceMs(),
-    decode: outside.decodeConfiguration,
-    decodeBytes: outside.decodeConfigurationBytes,
+    decode: platform.decodeConfiguration,
+    decodeBytes: platform.decodeConfigurationBytes,
     fetchFromPeer: (address) => caller.configuration(address, PEER_CONFIGURATION_TIMEOUT_MS),
     fetchPeerVersions,
     onConnected,
@@ -100,7 +101,7 @@
     onUnreadable: (revision) => log.event('configuration-unreadable', { revision }),
     dependencyLoader: createDependencyLoader({
       store: relay.store,
-      loadPolicyCompiler: outside.loadPolicyCompiler,
+      loadPolicyCompiler: platform.loadPolicyCompiler,
     }),
   });
 }
--- a/src/sidecar/zoneMembership.ts
+++ b/src/sidecar/zoneAssignment.ts
@@ -11,14 +11,14 @@
 const PART_LIFETIME_MS = 500;
 
 /** What is needed of the node. */
-export interface ZoneMembershipContext {
+export interface ZoneAssignmentContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
   readonly own: () => OwnerRecord;
 }
 
 /** Tells this node's part in reading the store for its zone. */
-export function createZoneMembership(context: ZoneMembershipContext): () => ZoneAssignment {
+export function createZoneAssignment(context: ZoneAssignmentContext): () => ZoneAssignment {
   const { clock, directory, own } = context;
   let part: ZoneAssignment | undefined;
   let until = 0;
