--- a/src/directory/rolloutController.ts
+++ b/src/directory/rolloutController.ts
@@ -49,7 +49,7 @@
 const USUAL_STORE_MS = 100;
 
 /** Reports that come together are looked at together, in milliseconds. */
-const SHORTEST_STEP_MS = 50;
+const MIN_STEP_MS = 50;
 
 /** What changed, for the log. */
 export interface RolloutChange {
@@ -184,7 +184,7 @@
   const renewalMs = ({ phase, plan }: RolloutStep, work: OrderWork): number => {
     const isNew = work.decider.versions.length > work.toldVersions || isOther(plan, work.plan);
     if (isLeased(phase)) {
-      return isNew ? SHORTEST_STEP_MS : LEASE_RENEWAL_MS;
+      return isNew ? MIN_STEP_MS : LEASE_RENEWAL_MS;
     }
     if (phase === RolloutPhase.Halt) {
       return LEASE_RENEWAL_MS;
@@ -235,24 +235,18 @@
   };
 
   return {
-    receiveEvidence: (evidence) => {
-      const rollout = rollouts.running(evidence.service);
-      const decider = deciderBefore(evidence.service);
+    receiveEvidence: (report) => {
+      const rollout = rollouts.running(report.service);
+      const decider = deciderBefore(report.service);
       if (decider) {
-        words.send(decider, evidence);
+        words.send(decider, report);
       }
-      if (rollout?.order.id === evidence.orderId) {
-        rollouts.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
+      if (rollout?.order.id === report.orderId) {
+        rollouts.noteAge(report.service, report.orderId, report.ageMs);
         const work = workOf(rollout);
-        work.decider.addReport(
-          evidence,
-          rollouts.running(evidence.service)?.ageMs ?? evidence.ageMs,
-        );
+        work.decider.addReport(report, rollouts.running(report.service)?.ageMs ?? report.ageMs);
         // In the last step each moment sends the version all that comes.
-        if (
-          rollout.phase === RolloutPhase.Shift &&
-          clock.now() - work.steppedAt >= SHORTEST_STEP_MS
-        ) {
+        if (rollout.phase === RolloutPhase.Shift && clock.now() - work.steppedAt >= MIN_STEP_MS) {
           reconcile(rollout);
         }
       }
