--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -101,7 +101,7 @@
 
   /** Why admitted tasks may not be sent any more. Undefined if they may be sent. */
   sendRejectionReason(): NotRunReason | undefined {
-    return this.options.beliefClock.now() >= this.sendUntil ? 'draining' : undefined;
+    return this.options.freshnessClock.now() >= this.sendUntil ? 'draining' : undefined;
   }
 
   /**
@@ -113,7 +113,7 @@
     if (beat.service !== this.backEnd?.service && !this.options.isServiceConfigured(beat.service)) {
       return false;
     }
-    const result = this.registry.heartbeat(beat, this.options.beliefClock.now());
+    const result = this.registry.heartbeat(beat, this.options.freshnessClock.now());
     if (result === 'unverified') {
       this.checkHealthIfNeeded();
     } else if (result === 'applied' && this.isCurrent(beat)) {
@@ -167,12 +167,12 @@
 
   /** Called once per incarnation: later reports of its drain don't move the acknowledged limits. */
   private beginDrain(): void {
-    const { beliefClock, drainMs } = this.options;
+    const { freshnessClock, drainMs } = this.options;
     this.drainTimer = setTimeout(
       () => this.listener.onUnavailable(),
       drainMs() * DRAIN_QUEUE_SHARE,
     );
-    this.sendUntil = beliefClock.now() + drainMs() * DRAIN_SEND_SHARE;
+    this.sendUntil = freshnessClock.now() + drainMs() * DRAIN_SEND_SHARE;
   }
 
   /** Checks the back end's health while its incarnation or its state is unknown. */
@@ -208,7 +208,7 @@
       // The address may now belong to another service, which only a heartbeat can confirm.
       return;
     }
-    const now = this.options.beliefClock.now();
+    const now = this.options.freshnessClock.now();
     const fallback = {
       service,
       address,
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -12,7 +12,7 @@
 import { createQuarantineSync, type QuarantineSync } from '../directory/quarantineSync.js';
 import { IngressServer } from '../ingress/ingress-server.js';
 import { createOfferLimit } from '../ingress/offerLimit.js';
-import { createReturnTimes } from '../ingress/returnTimes.js';
+import { createRetryAfterPacer } from '../ingress/retryAfterPacer.js';
 import { SharedRetryBudget } from '../ingress/shared-retry-budget.js';
 import { createSuspendAwareTimers } from '../model/suspendAwareTimers.js';
 import { LocalOwner } from '../owner/local-owner.js';
@@ -45,13 +45,13 @@
   readonly quarantines: QuarantineSync;
   /** Undefined where no roll-outs are followed. */
   readonly rollouts: RolloutParts | undefined;
-  readonly ledger: CrashTracker;
+  readonly crashTracker: CrashTracker;
   readonly configuration: ConfigurationFollower;
   readonly ingress: IngressServer;
   readonly peers: PeerServer;
   readonly reads: PooledPeerClient;
   readonly relay: ZoneRelay;
-  readonly load: LoadLine;
+  readonly usageReporter: LoadLine;
   readonly noteUnreadable: NoteUnreadable;
   readonly quotas: QuotaPart;
   /** This node's own record, as the other nodes get it. */
@@ -59,23 +59,23 @@
 }
 
 export function createSidecarParts(context: SidecarPartsContext): SidecarParts {
-  const { settings, outside, clocks, log, metrics } = context;
-  const { clock, freshnessClock: beliefClock } = clocks;
-  const alarms = createSuspendAwareTimers(clocks);
-  const { names } = outside;
+  const { settings, platform, clocks, log, metrics } = context;
+  const { clock, freshnessClock } = clocks;
+  const timers = createSuspendAwareTimers(clocks);
+  const { names } = platform;
   const { zone } = settings();
 
-  const load = startLoadLine(log);
+  const usageReporter = startLoadLine(log);
   const onSent = (kind: MessageKind, bytes: number) => {
-    load.noteSent(MessageKind[kind], bytes);
+    usageReporter.noteSent(MessageKind[kind], bytes);
   };
 
-  outside.store.onReceived = (kind, bytes) => {
-    load.noteReceived(kind, bytes);
+  platform.store.onReceived = (kind, bytes) => {
+    usageReporter.noteReceived(kind, bytes);
   };
 
   const noteUnreadable = createUnreadableLog(clock, log);
-  outside.store.onUnreadable = (kind, reason) =>
+  platform.store.onUnreadable = (kind, reason) =>
     noteUnreadable(EntryKind.StoreObject, kind, reason);
 
   const record = () => ownRecordOf(settings());
@@ -87,12 +87,12 @@
   const onStore = (use: string) => (connected: boolean, detail: string, cause?: string) =>
     log.event('store', { use, connected, detail, cause, version: configuration.version });
 
-  const ledger = createCrashTracker();
+  const crashTracker = createCrashTracker();
   const owner = new LocalOwner({
     clock,
-    beliefClock,
-    timers: alarms,
-    ledger,
+    freshnessClock,
+    timers,
+    ledger: crashTracker,
     onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
     onCrashAnnouncement: (news) => quarantines.publish(news),
     names,
@@ -120,15 +120,15 @@
     sender,
     report,
     onSent,
-    onReply: (tookMs) => load.noteReply(tookMs),
+    onReply: (tookMs) => usageReporter.noteReply(tookMs),
     onVersion: (address, version) => configuration.noteVersion(address, version),
   });
   const directory = new OwnerDirectory(zone, entryOf, Math.random, settings().linkMbps);
   directory.put(record());
 
   const reads = createPooledPeerClient(sender, onSent);
-  const relay = createRelayPart({ ...context, load, directory, reads, record });
-  outside.store.onEra = relay.noteEra;
+  const relay = createRelayPart({ ...context, usageReporter, directory, reads, record });
+  platform.store.onEra = relay.noteEra;
 
   const caller = new PeerClient(sender, report, onSent);
   const broadcast = createAnnouncementBroadcast({ directory, caller, own: record });
@@ -153,7 +153,7 @@
   const quarantines = createQuarantineSync({
     clock,
     store: relay.store,
-    ledger,
+    ledger: crashTracker,
     directory,
     broadcast,
     own: record,
@@ -191,31 +191,31 @@
     directory,
     reads,
     routes: () => configuration.routes,
-    isListed: () => sync.isSynced,
+    isDirectorySynced: () => sync.isSynced,
   });
 
   const tenantUse = createTenantUsageCounter(clock);
 
   const ingress = new IngressServer({
     clock,
-    alarms,
+    timers,
     names,
     directory,
-    budget: new SharedRetryBudget(() => settings().retryBudget, nodes),
-    spill: createCrossZoneBudget(),
-    returns: createReturnTimes(),
+    retryBudget: new SharedRetryBudget(() => settings().retryBudget, nodes),
+    crossZoneBudget: createCrossZoneBudget(),
+    retryAfterPacer: createRetryAfterPacer(),
     offerLimit: createOfferLimit(),
-    ledger,
-    shares: rollouts?.shares,
+    crashTracker,
+    versionSelector: rollouts?.versionSelector,
     routes: () => configuration.routes,
     mayBeBehind: () => configuration.mayBeStale,
-    isOutdated: () => {
+    isTooStale: () => {
       const { revocation } = settings();
       return revocation?.isStrict === true && configuration.maxStalenessMs > revocation.withinMs;
     },
     callerService: () => settings().service,
-    own: record,
-    quotas: quotas.gate,
+    ownRecord: record,
+    quotaGate: quotas.gate,
     onFinished: (request) => recordRequest({ log, metrics, tenantUse }, request),
   });
 
@@ -262,13 +262,13 @@
     sync,
     quarantines,
     rollouts,
-    ledger,
+    crashTracker,
     configuration,
     ingress,
     peers,
     reads,
     relay,
-    load,
+    usageReporter,
     noteUnreadable,
     quotas,
     record,
