--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -27,7 +27,7 @@
 /** The parts of the node that the presence uses. */
 export interface BackEndPresenceOptions {
   /** Clock for the state of the back end and for the time limits of its drain. */
-  readonly beliefClock: Clock;
+  readonly freshnessClock: Clock;
   readonly names: HeaderNames;
   /** Service that is set for this machine. */
   readonly service: () => string;
