--- a/src/relay/difference.ts
+++ b/src/relay/difference.ts
@@ -1,11 +1,12 @@
 /**
- * What has changed between two versions of an object, to be sent instead of the whole. The versions
- * share their structure (`shareStructure`), so an unchanged part is found by its identity.
+ * Computes and applies the difference between two versions of an object, so that a node can send the
+ * difference instead of the whole object. The versions share their structure (`shareStructure`), so
+ * an unchanged part is recognised by its identity.
  */
 import { createHash } from 'node:crypto';
 import { encodeValue } from '../codec/frame.js';
 
-/** Bytes of a digest that travel: enough to tell any two versions apart. */
+/** Bytes of a digest that are sent: enough to tell any two versions apart. */
 const DIGEST_BYTES = 16;
 
 enum PartKind {
@@ -23,13 +24,13 @@
   | readonly [PartKind.Fields, readonly (readonly [name: string, part: Part])[]]
   | readonly [PartKind.Items, readonly Run[]];
 
-/** Items of the old version that stand in the new one as they were, or new items. */
+/** A run of items that is copied from the old version, or a run of new items. */
 type Run = readonly [start: number, count: number] | readonly [newItems: readonly unknown[]];
 
-/** Travels as it is, and is checked when it is applied. */
+/** Sent as it is; {@link applyDifference} checks it. */
 export interface Difference {
   readonly part: unknown;
-  /** Of the new version. */
+  /** Digest of the new version. */
   readonly digest: Buffer;
 }
 
@@ -37,13 +38,13 @@
   return { part: partOf(base, next), digest: digestOf(next) };
 }
 
-/** The new version; undefined unless it is the very one that the difference was made of. */
+/** Returns the new version. Undefined if its digest is not the one in the difference. */
 export function applyDifference(base: unknown, { part, digest }: Difference): unknown {
   try {
-    const next = applied(base, part as Part);
+    const next = applyPart(base, part as Part);
     return digestOf(next).equals(digest) ? next : undefined;
   } catch {
-    // Not a difference, or one to another base: its receiver asks for the whole.
+    // Not a difference, or one from another base: the receiver requests the whole object.
     return undefined;
   }
 }
@@ -52,9 +53,9 @@
 
 function digestOf(value: unknown): Buffer {
   const key = isStructure(value) ? value : {};
-  const known = digests.get(key);
-  if (known) {
-    return known;
+  const cached = digests.get(key);
+  if (cached) {
+    return cached;
   }
   const digest = createHash('sha256').update(encodeValue(value)).digest().subarray(0, DIGEST_BYTES);
   digests.set(key, digest);
@@ -79,7 +80,7 @@
 }
 
 function runsOf(base: readonly unknown[], next: readonly unknown[]): Run[] {
-  const places = new Map(base.map((item, index) => [item, index]));
+  const baseIndexes = new Map(base.map((item, index) => [item, index]));
   const runs: Run[] = [];
   let copied = { start: 0, count: 0 };
   let added: unknown[] = [];
@@ -94,18 +95,18 @@
     added = [];
   };
   for (const item of next) {
-    const place = isStructure(item) ? places.get(item) : undefined;
-    const goesOn =
-      place === undefined
+    const baseIndex = isStructure(item) ? baseIndexes.get(item) : undefined;
+    const continuesRun =
+      baseIndex === undefined
         ? copied.count === 0
-        : copied.count > 0 && place === copied.start + copied.count;
-    if (!goesOn) {
+        : copied.count > 0 && baseIndex === copied.start + copied.count;
+    if (!continuesRun) {
       endRun();
     }
-    if (place === undefined) {
+    if (baseIndex === undefined) {
       added.push(item);
     } else {
-      copied = copied.count > 0 ? copied : { start: place, count: 0 };
+      copied = copied.count > 0 ? copied : { start: baseIndex, count: 0 };
       copied.count += 1;
     }
   }
@@ -113,7 +114,7 @@
   return runs;
 }
 
-function applied(base: unknown, part: Part): unknown {
+function applyPart(base: unknown, part: Part): unknown {
   switch (part[0]) {
     case PartKind.Same:
       return base;
@@ -121,7 +122,9 @@
       return part[1];
     case PartKind.Fields: {
       const old = base as Record<string, unknown>;
-      return Object.fromEntries(part[1].map(([name, field]) => [name, applied(old[name], field)]));
+      return Object.fromEntries(
+        part[1].map(([name, field]) => [name, applyPart(old[name], field)]),
+      );
     }
     case PartKind.Items: {
       const old = base as readonly unknown[];
@@ -130,7 +133,7 @@
       );
     }
     default:
-      throw new TypeError('not a part of a difference');
+      throw new TypeError('unknown kind of part in a difference');
   }
 }
 
--- a/src/relay/directWatches.ts
+++ b/src/relay/directWatches.ts
@@ -1,87 +1,100 @@
 /**
- * The watches that this node itself has waiting at the store. Such a watch says nothing for seconds, so
- * it is not taken at its word: when the store is at a revision that it should have told of and has
- * not, the store is asked the same again, without waiting. So a change is at most two proofs and a call
- * late where a watch's connection has gone silent: 1.3 s of a bound of 2 s, and what the revision that
- * the proofs bring lags behind. The watch's own end comes after 13.5 s.
+ * The watches that this node has waiting at the store itself. A watch that waits for seconds looks
+ * the same as one whose connection has gone silent. So when a probe finds the store at a revision
+ * that a watch should have reported and has not, the watch's question is sent again, without a wait.
+ * A change on a silent connection is therefore late by at most two probes and one call: 1.3 s of an
+ * allowed 2 s, plus the time by which the revision from the probes lags behind. Without this check,
+ * the watch would end only after 13.5 s.
  */
 import type { ObjectStore, StoreChanges, StoreError, StoreResult } from '../source/object-store.js';
 import { eraOf } from '../source/storeRevision.js';
 
-/** Wait of a watch that only brings up to date, in milliseconds: the store takes no zero. */
+/**
+ * Wait in milliseconds of a watch that only fetches the changes so far. The store does not accept
+ * zero.
+ */
 export const CATCH_UP_WAIT_MS = 1;
 
-/** What is needed of the node. */
+/** Dependencies of the direct watches on the rest of the node. */
 export interface DirectWatchesContext {
   readonly store: ObjectStore;
-  /** Newest revision up to which all changes of a kind are known here. */
+  /** Newest revision up to which this node has all changes of a kind. */
   readonly knownRevision: (kind: string) => number | undefined;
-  /** The changes of a kind after `from` are known here up to `revision`: there were none. */
+  /** Called when a check shows that a kind has not changed after `from` up to `revision`. */
   readonly onNoMissedChanges: (kind: string, from: number, revision: number) => void;
-  /** A watch was silent although there were changes. */
+  /** Called when a check returns changes that a watch has not reported. */
   readonly onMissedChanges: (kind: string, revision: number) => void;
 }
 
 export interface DirectWatches {
-  /** Resolves with undefined if it was released. */
+  /** Sends a watch to the store. Resolves with undefined if the watch is released. */
   watch<Spec>(
     kind: string,
     revision: number,
     waitMs: number,
   ): Promise<StoreResult<StoreChanges<Spec>> | undefined>;
-  /** Ends those that wait, without an answer: a reader of the zone is asked from now on. */
+  /** Ends all waiting watches without a result, so that the caller can ask a reader of the zone. */
   releaseAll(): void;
-  /** Ends those that wait, as failed: they were sent on connections, or to a store, now in doubt. */
+  /** Ends all waiting watches with an error: their connections or the store may be silent. */
   failAll(): void;
-  /** The store has come back from a copy: ends those that wait from an earlier era, as with their history gone. */
+  /**
+   * Notes the era of the store. Waiting watches from an earlier era end with `history-gone`, since
+   * the store has been restored from a copy.
+   */
   noteEra(era: number): void;
-  /** The store is at this revision. */
+  /** Notes a revision that the store has reached, and checks the watches that have not reported it. */
   noteRevision(revision: number): void;
 }
 
-interface Waiting {
+interface PendingWatch {
   readonly revision: number;
   readonly settle: (result: StoreResult<StoreChanges<never>> | undefined) => void;
-  /** A revision that it had not told of at an earlier look. */
-  untold: number | undefined;
-  isChecked: boolean;
+  /** Revision of the store that the watch had not reported at an earlier call of `noteRevision`. */
+  unreported: number | undefined;
+  /** True while the watch's question is sent again without a wait. */
+  isChecking: boolean;
 }
 
-const ABANDONED: StoreError = { ok: false, failure: 'unknown', detail: 'abandoned' };
+const WATCH_ABORTED: StoreError = {
+  ok: false,
+  failure: 'unknown',
+  detail: 'watch aborted: the store does not answer',
+};
 
 const HISTORY_GONE: StoreError = {
   ok: false,
   failure: 'history-gone',
-  detail: 'the store has come back from a copy',
+  detail: 'the store has been restored from a copy',
 };
 
 export function createDirectWatches(context: DirectWatchesContext): DirectWatches {
   const { store, knownRevision, onNoMissedChanges, onMissedChanges } = context;
-  const waiting = new Map<string, Waiting>();
+  const pending = new Map<string, PendingWatch>();
 
   const settleAll = (result: StoreError | undefined): void => {
-    for (const watch of [...waiting.values()]) {
+    for (const watch of [...pending.values()]) {
       watch.settle(result);
     }
   };
 
-  const check = async (kind: string, watch: Waiting): Promise<void> => {
-    watch.isChecked = true;
-    // What rests in the pool may have gone silent with the watch, and would cost the question its time.
+  const check = async (kind: string, watch: PendingWatch): Promise<void> => {
+    watch.isChecking = true;
+    // The idle connections of the pool may have gone silent together with the watch's connection,
+    // and a check that is sent on one of them would time out.
     store.closeIdle();
     const result = await store.watch<never>(kind, watch.revision, CATCH_UP_WAIT_MS);
-    watch.isChecked = false;
-    if (waiting.get(kind) !== watch) {
+    watch.isChecking = false;
+    if (pending.get(kind) !== watch) {
       return;
     }
     if (!result.ok) {
-      // Any other failure says nothing of the watch: it is checked again at the next look.
+      // Any other failure shows nothing about the watch: the next `noteRevision` checks it again.
       if (result.failure === 'history-gone') {
         watch.settle(result);
       }
       return;
     }
-    watch.untold = undefined;
+    watch.unreported = undefined;
     const { events, revision } = result.value;
     if (events.length === 0) {
       onNoMissedChanges(kind, watch.revision, revision);
@@ -95,36 +108,36 @@
     watch: <Spec>(kind: string, revision: number, waitMs: number) =>
       new Promise<StoreResult<StoreChanges<Spec>> | undefined>((resolve) => {
         const controller = new AbortController();
-        const watch: Waiting = {
+        const watch: PendingWatch = {
           revision,
-          untold: undefined,
-          isChecked: false,
+          unreported: undefined,
+          isChecking: false,
           settle: (result) => {
-            if (waiting.get(kind) === watch) {
-              waiting.delete(kind);
+            if (pending.get(kind) === watch) {
+              pending.delete(kind);
             }
             resolve(result);
             controller.abort();
           },
         };
-        waiting.set(kind, watch);
+        pending.set(kind, watch);
         void store.watch<never>(kind, revision, waitMs, controller.signal).then(watch.settle);
       }),
     releaseAll: () => settleAll(undefined),
-    failAll: () => settleAll(ABANDONED),
+    failAll: () => settleAll(WATCH_ABORTED),
     noteEra: (era) => {
-      for (const watch of [...waiting.values()].filter(({ revision }) => eraOf(revision) < era)) {
+      for (const watch of [...pending.values()].filter(({ revision }) => eraOf(revision) < era)) {
         watch.settle(HISTORY_GONE);
       }
     },
-    noteRevision: (seen) => {
-      for (const [kind, watch] of waiting) {
-        const told = Math.max(watch.revision, knownRevision(kind) ?? 0);
-        if (watch.untold !== undefined && watch.untold > told && !watch.isChecked) {
+    noteRevision: (storeRevision) => {
+      for (const [kind, watch] of pending) {
+        const reported = Math.max(watch.revision, knownRevision(kind) ?? 0);
+        if (watch.unreported !== undefined && watch.unreported > reported && !watch.isChecking) {
           void check(kind, watch);
-        } else if (seen > told) {
-          // At the first look the watch's own answer may still be on its way.
-          watch.untold ??= seen;
+        } else if (storeRevision > reported) {
+          // The watch's own answer may still be on its way, so the check waits for the next call.
+          watch.unreported ??= storeRevision;
         }
       }
     },
--- a/src/relay/fallbackWatch.ts
+++ b/src/relay/fallbackWatch.ts
@@ -1,43 +1,50 @@
 /**
- * A watch for which no reader of the own zone speaks: at the store itself while that answers, at the
- * reader of another zone while it does not.
+ * A watch that no reader of the node's own zone can answer. It is sent to the store itself while the
+ * store answers, and to the reader of another zone while the store is suspected.
  */
 import type { StoreChanges, StoreError, StoreResult } from '../source/object-store.js';
 import type { StoreReachability } from './storeReachability.js';
 
-/** Asks for the changes of a kind after a revision; `None` is what may come in place of a result. */
+/**
+ * Waits for the changes of a kind after a revision. `None` is the type of the value that is returned
+ * if there is no result.
+ */
 export type WatchChanges<None> = <Spec>(
   kind: string,
   revision: number,
   waitMs: number,
 ) => Promise<None | StoreResult<StoreChanges<Spec>>>;
 
-/** What is needed of the node. */
+/** Dependencies of the fallback watch on the rest of the node. */
 export interface FallbackWatchContext {
   readonly reach: StoreReachability;
-  /** Milliseconds for which another zone's reader is asked to wait. */
+  /** Longest wait of a watch at another zone's reader, in milliseconds. */
   readonly longPollMs: number;
-  /** Undefined when the watch was released: the caller asks anew, of a reader. */
+  /** Returns undefined if the watch was released, so that the caller can ask a reader instead. */
   readonly watchStore: WatchChanges<undefined>;
-  /** Undefined when no other zone can speak for the store. */
+  /** Returns undefined if no reader of another zone can answer for the store. */
   readonly watchOtherZone: WatchChanges<undefined>;
-  /** The store itself has answered a watch. */
+  /** Called when the store itself has answered a watch. */
   readonly onStoreAnswered: () => void;
 }
 
 export interface FallbackWatch {
-  /** True while such a watch is under way, whether or not the store answers. */
+  /** True while a fallback watch is in flight, whether or not the store answers. */
   readonly isActive: boolean;
   readonly watch: WatchChanges<never>;
 }
 
-const OUT_OF_REACH: StoreError = { ok: false, failure: 'unavailable', detail: 'out of reach' };
+const STORE_SUSPECTED: StoreError = {
+  ok: false,
+  failure: 'unavailable',
+  detail: 'the store does not answer',
+};
 
 export function createFallbackWatch(context: FallbackWatchContext): FallbackWatch {
   const { reach, longPollMs, watchStore, watchOtherZone, onStoreAnswered } = context;
-  let waiting = 0;
+  let inFlight = 0;
 
-  const watchOwn: WatchChanges<never> = async <Spec>(
+  const watchStoreFirst: WatchChanges<never> = async <Spec>(
     kind: string,
     revision: number,
     waitMs: number,
@@ -54,10 +61,11 @@
   };
 
   /**
-   * A watch that is sent to a silent store may never be answered, also when the store is back: it is
-   * sent once a proof has been answered.
+   * A store that is silent when it receives a watch may never answer the watch, even once the store
+   * is back. So while the store is suspected, the watch goes to the store only after a probe has
+   * been answered.
    */
-  const watchInDoubt: WatchChanges<never> = async <Spec>(
+  const watchOtherZoneFirst: WatchChanges<never> = async <Spec>(
     kind: string,
     revision: number,
     waitMs: number,
@@ -67,20 +75,20 @@
       return answer;
     }
     await reach.untilReachable(longPollMs);
-    return reach.isSuspected ? OUT_OF_REACH : watchOwn<Spec>(kind, revision, waitMs);
+    return reach.isSuspected ? STORE_SUSPECTED : watchStoreFirst<Spec>(kind, revision, waitMs);
   };
 
   return {
     get isActive() {
-      return waiting > 0;
+      return inFlight > 0;
     },
     watch: async <Spec>(kind: string, revision: number, waitMs: number) => {
-      waiting += 1;
+      inFlight += 1;
       try {
-        const watch = reach.isSuspected ? watchInDoubt : watchOwn;
+        const watch = reach.isSuspected ? watchOtherZoneFirst : watchStoreFirst;
         return await watch<Spec>(kind, revision, waitMs);
       } finally {
-        waiting -= 1;
+        inFlight -= 1;
       }
     },
   };
--- a/src/relay/relayedStore.test.ts
+++ b/src/relay/relayedStore.test.ts
@@ -231,7 +231,7 @@
 
 it('a watch is not sent to a store in doubt: another zone is asked, until a proof is answered', async () => {
   const { relayed, view, reach } = aloneBeside(7);
-  reach.noteTimeout('a proof was not answered');
+  reach.noteTimeout('a probe was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ value: { revision: 7 } });
   expect(view.calls).toBe(0);
   reach.noteAnswered();
@@ -242,7 +242,7 @@
 
 it('a node whose watches another zone speaks for goes on proving its own reach', async () => {
   const { relayed, reach } = aloneBeside(7);
-  reach.noteTimeout('a proof was not answered');
+  reach.noteTimeout('a probe was not answered');
   const watch = relayed.watch(CONFIGURATION, 1, 10_000);
   await new Promise((resolve) => setImmediate(resolve));
   expect((await watch).ok).toBe(true);
@@ -255,7 +255,7 @@
 
 it('a watch in doubt that nobody speaks for is sent as soon as the store answers, or fails', async () => {
   const { relayed, view, reach } = aloneBeside(undefined);
-  reach.noteTimeout('a proof was not answered');
+  reach.noteTimeout('a probe was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ ok: false });
   expect(view.calls).toBe(0);
   const watch = relayed.watch(CONFIGURATION, 0, 10_000);
--- a/src/relay/sharedStructure.ts
+++ b/src/relay/sharedStructure.ts
@@ -1,41 +1,41 @@
 /**
- * Lets two versions of an object share what is the same in both. A configuration of 1,600 routes
- * changes by a few of them: what is shared need not be sent, translated or checked again, and the
- * versions that a node keeps cost it little more than one.
+ * Lets two versions of an object share the parts that are equal in both. A configuration of 1,600
+ * routes usually changes in only a few of them: the shared parts need not be sent, translated or
+ * checked again, and a node that keeps several versions needs little more memory than for one.
  */
 
 type Fields = Readonly<Record<string, unknown>>;
 
-/** `next`, with every part that equals one of `previous` replaced by that part. */
+/** Returns `next`, with every part that equals a part of `previous` replaced by that part. */
 export function shareStructure<Value>(previous: unknown, next: Value): Value {
-  return shared(previous, next) as Value;
+  return shareValue(previous, next) as Value;
 }
 
-function shared(previous: unknown, next: unknown): unknown {
+function shareValue(previous: unknown, next: unknown): unknown {
   if (previous === next || !isStructure(previous) || !isStructure(next)) {
     return next;
   }
   if (Array.isArray(previous) && Array.isArray(next)) {
-    return sharedItems(previous, next);
+    return shareItems(previous, next);
   }
   return Array.isArray(previous) || Array.isArray(next)
     ? next
-    : sharedFields(previous as Fields, next as Fields);
+    : shareFields(previous as Fields, next as Fields);
 }
 
-function sharedFields(previous: Fields, next: Fields): Fields {
+function shareFields(previous: Fields, next: Fields): Fields {
   const keys = Object.keys(next);
   const result: Record<string, unknown> = {};
   let isSame = keys.length === Object.keys(previous).length;
   for (const key of keys) {
-    const part = shared(previous[key], next[key]);
-    result[key] = part;
-    isSame &&= key in previous && part === previous[key];
+    const value = shareValue(previous[key], next[key]);
+    result[key] = value;
+    isSame &&= key in previous && value === previous[key];
   }
   return isSame ? previous : result;
 }
 
-function sharedItems(previous: readonly unknown[], next: readonly unknown[]): readonly unknown[] {
+function shareItems(previous: readonly unknown[], next: readonly unknown[]): readonly unknown[] {
   const result = [...next];
   const start = shareFromStart(previous, result);
   const end = shareFromEnd(previous, result, start);
@@ -45,11 +45,11 @@
   return isSame ? previous : result;
 }
 
-/** Shares the items that are the same from the start on; returns their number. */
+/** Shares the equal items at the start of both arrays and returns their number. */
 function shareFromStart(previous: readonly unknown[], result: unknown[]): number {
   const length = Math.min(previous.length, result.length);
   for (let index = 0; index < length; index += 1) {
-    const item = shared(previous[index], result[index]);
+    const item = shareValue(previous[index], result[index]);
     if (item !== previous[index]) {
       return index;
     }
@@ -58,13 +58,13 @@
   return length;
 }
 
-/** Shares the items that are the same up to the end, as far back as `start`; returns their number. */
+/** Shares the equal items at the end of both arrays, after `start`, and returns their number. */
 function shareFromEnd(previous: readonly unknown[], result: unknown[], start: number): number {
   const length = Math.min(previous.length, result.length) - start;
   for (let count = 0; count < length; count += 1) {
     const old = previous[previous.length - 1 - count];
     const index = result.length - 1 - count;
-    const item = shared(old, result[index]);
+    const item = shareValue(old, result[index]);
     if (item !== old) {
       return count;
     }
@@ -73,7 +73,10 @@
   return length;
 }
 
-/** Shares what has only changed its place; `candidates` are the old items that are not shared yet. */
+/**
+ * Shares items between `start` and `end` that have only moved. `candidates` are the items of the
+ * previous array that are not shared yet.
+ */
 function shareMoved(
   candidates: readonly unknown[],
   result: unknown[],
--- a/src/relay/storeProbe.test.ts
+++ b/src/relay/storeProbe.test.ts
@@ -72,7 +72,7 @@
     answer = async () => ANSWERED;
     await vi.advanceTimersByTimeAsync(PATIENCE_MS + PACE_MS / 8);
     expect(reach.isSuspected).toBe(false);
-    expect(changes).toEqual(['lost: a proof was not answered', 'regained: answered']);
+    expect(changes).toEqual(['lost: a probe was not answered', 'regained: answered']);
   });
 
   it('is asked for at a bounded rate while it is refused at once', async () => {
--- a/src/relay/storeProbe.ts
+++ b/src/relay/storeProbe.ts
@@ -1,40 +1,45 @@
 /**
- * Shows again and again that the store is within reach of a node that reads it itself. Its watches may
- * wait for long: were their answers the only proof, they would have to be made over and over.
+ * Probes the store at regular intervals while this node reads from it directly. A watch may wait for
+ * a long time; if only the answers to watches showed that the store is reachable, the watches would
+ * have to be short and sent again and again.
  */
 import type { Clock } from '../model/clock.js';
 import type { ObjectStore } from '../source/object-store.js';
 import type { StoreReachability } from './storeReachability.js';
 
-/** Looks in the time of one proof: a proof is late by one of them at the most. */
-const LOOKS = 8;
+/** Checks per probe interval whether a probe is due: a probe is late by one check at most. */
+const CHECKS_PER_INTERVAL = 8;
 
 /**
- * A proof that is not answered within this time, in milliseconds, is met with silence: a hundred times
- * what a store usually takes, and with the pace of 600 ms well inside the 3 s within which nodes are to
- * be in touch again. An answer that comes later still counts. While in doubt, another one is sent as
- * often, so that a store which is back is found within it.
+ * Time in milliseconds after which an unanswered probe makes the store suspected. It is a hundred
+ * times the usual answer time of a store, and with a probe interval of 600 ms well below the 3 s
+ * within which nodes must be in contact again. A later answer still counts. While the store is
+ * suspected, this is also the interval between probes, so that a store that answers again is found
+ * within this time.
  */
-const PATIENCE_MS = 500;
+const PROBE_TIMEOUT_MS = 500;
 
-/** A connection that was closed at rest fails one call: only the next failure says something. */
-const TELLING_FAILURES = 2;
+/**
+ * Consecutive failed probes that make the store suspected. A single failure can come from an idle
+ * connection that the other side has closed.
+ */
+const MIN_FAILURES = 2;
 
-/** What is needed of the node. */
+/** Dependencies of the probe on the rest of the node. */
 export interface StoreProbeContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
   readonly reach: StoreReachability;
-  /** A kind of small objects. */
+  /** A kind whose objects are small. */
   readonly kind: string;
-  /** Milliseconds after an answer of the store until it is asked again. */
+  /** Milliseconds from an answer of the store to the next probe. */
   readonly intervalMs: number;
   readonly isEnabled: () => boolean;
-  /** The store is at this revision, or was lately. */
+  /** Called with the revision from each answered probe; the store may be at a later one by then. */
   readonly onRevision: (revision: number) => void;
 }
 
-/** Asks the store while this node relies on it; runs until stopped. */
+/** Probes the store while `isEnabled` returns true, until stopped. */
 export interface StoreProbe {
   stop(): void;
 }
@@ -43,11 +48,14 @@
   const { clock, store, reach, kind, intervalMs, isEnabled, onRevision } = context;
   let sentAt = Number.NEGATIVE_INFINITY;
   let failures = 0;
-  const ask = async (): Promise<void> => {
+  const sendProbe = async (): Promise<void> => {
     sentAt = clock.now();
-    const silence = setTimeout(() => reach.noteTimeout('a proof was not answered'), PATIENCE_MS);
+    const timeout = setTimeout(
+      () => reach.noteTimeout('a probe was not answered'),
+      PROBE_TIMEOUT_MS,
+    );
     const result = await store.probe(kind);
-    clearTimeout(silence);
+    clearTimeout(timeout);
     if (result.ok) {
       failures = 0;
       reach.noteAnswered();
@@ -55,16 +63,16 @@
       return;
     }
     failures += 1;
-    if (failures >= TELLING_FAILURES) {
+    if (failures >= MIN_FAILURES) {
       reach.noteTimeout(`${result.failure}: ${result.detail}`);
     }
   };
   const timer = setInterval(() => {
-    const isDoubtful = reach.isSuspected || failures > 0;
+    const isRetry = reach.isSuspected || failures > 0;
     const sinceMs = clock.now() - Math.max(sentAt, reach.answeredAt);
-    if (sinceMs >= (isDoubtful ? PATIENCE_MS : intervalMs) && isEnabled()) {
-      void ask();
+    if (sinceMs >= (isRetry ? PROBE_TIMEOUT_MS : intervalMs) && isEnabled()) {
+      void sendProbe();
     }
-  }, intervalMs / LOOKS);
+  }, intervalMs / CHECKS_PER_INTERVAL);
   return { stop: () => clearInterval(timer) };
 }
--- a/src/relay/storeReachability.ts
+++ b/src/relay/storeReachability.ts
@@ -1,26 +1,27 @@
 /**
- * Whether the store is within reach of this node. A call that meets silence puts all in doubt that was
- * sent before it: connections may go silent for good while new ones work, and a store that is silent
- * for a while may never answer what it was sent meanwhile.
+ * Tracks whether the store answers this node. When a call is not answered in time, the store becomes
+ * suspected, and every call sent before then may stay unanswered: connections can go silent for good
+ * while new ones work, and a store that was silent for a while may never answer the calls that it
+ * was sent in that time.
  */
 import type { Clock } from '../model/clock.js';
 import { createWaiters } from '../model/waiters.js';
 
-/** What is needed of the node. */
+/** Dependencies of the reachability tracker on the rest of the node. */
 export interface StoreReachabilityContext {
   readonly clock: Clock;
-  /** The store has ceased to answer, or answers again; what was seen of that. */
-  readonly onChange: (isInDoubt: boolean, detail: string) => void;
+  /** Called when the store becomes suspected or answers again; `detail` describes the cause. */
+  readonly onChange: (isSuspected: boolean, detail: string) => void;
 }
 
 export interface StoreReachability {
-  /** Steady time in milliseconds at which the store itself last answered; minus infinity if never. */
+  /** Steady time in milliseconds of the store's last answer to this node; minus infinity if none. */
   readonly answeredAt: number;
-  /** True from a silence until the next answer. */
+  /** True from a call that is not answered in time until the store's next answer. */
   readonly isSuspected: boolean;
   noteAnswered(): void;
   noteTimeout(detail: string): void;
-  /** Resolves when the store has answered again, or after `waitMs`. */
+  /** Resolves at the store's next answer, or after `waitMs`. */
   untilReachable(waitMs: number): Promise<void>;
 }
 
@@ -29,11 +30,11 @@
   onChange,
 }: StoreReachabilityContext): StoreReachability {
   let answeredAt = Number.NEGATIVE_INFINITY;
-  let isInDoubt = false;
-  const waiting = createWaiters();
-  const change = (next: boolean, detail: string) => {
-    if (next !== isInDoubt) {
-      isInDoubt = next;
+  let isSuspected = false;
+  const waiters = createWaiters();
+  const setSuspected = (next: boolean, detail: string) => {
+    if (next !== isSuspected) {
+      isSuspected = next;
       onChange(next, detail);
     }
   };
@@ -42,14 +43,14 @@
       return answeredAt;
     },
     get isSuspected() {
-      return isInDoubt;
+      return isSuspected;
     },
     noteAnswered: () => {
       answeredAt = clock.now();
-      change(false, 'answered');
-      waiting.wakeAll();
+      setSuspected(false, 'answered');
+      waiters.wakeAll();
     },
-    noteTimeout: (detail) => change(true, detail),
-    untilReachable: (waitMs) => waiting.wait(waitMs),
+    noteTimeout: (detail) => setSuspected(true, detail),
+    untilReachable: (waitMs) => waiters.wait(waitMs),
   };
 }
--- a/src/relay/storeResultCodec.ts
+++ b/src/relay/storeResultCodec.ts
@@ -1,6 +1,6 @@
 /**
- * How a reader's answer travels to its followers: CBOR, deflated where that is worth it. An object of
- * which the asker holds an earlier version travels as the difference from that.
+ * Encodes a reader's answer to its followers as CBOR, deflated if it is large. If the follower holds
+ * an earlier version of an object, only the difference from that version is sent.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { decodeValue, encodeValue } from '../codec/frame.js';
@@ -8,33 +8,36 @@
 import { applyDifference, differenceOf } from './difference.js';
 
 /**
- * Answers above this size, in bytes, are deflated: a large configuration goes to every follower
- * over the reader's own link, and its routes are much alike.
+ * Answers above this size, in bytes, are deflated: a large configuration is sent to every follower
+ * over the reader's own link, and its routes resemble one another, so they compress well.
  */
 const DEFLATE_FROM_BYTES = 1_024;
 
-/** Fast: a configuration of 350 KB takes some 4 ms at this level. */
+/** The fastest level: deflating a configuration of 350 KB takes about 4 ms. */
 const DEFLATE_LEVEL = 1;
 
-/** Largest answer that is inflated, in bytes. */
+/** Largest answer after inflation, in bytes. */
 const MAX_INFLATED_BYTES = 32 * 1024 * 1024;
 
-enum Packing {
-  Plain = 0,
-  Deflated = 1,
+enum Compression {
+  None = 0,
+  Deflate = 1,
 }
 
 type Changes = StoreChanges<unknown>;
 type Event = Changes['events'][number];
 
-/** `base` is the revision from which `content` tells the difference, or undefined for a whole. */
+/**
+ * `base` is the revision of the version from which `content` is the difference. Undefined if
+ * `content` is the whole object.
+ */
 type WireEvent = readonly [
   name: string,
   revision: number,
   content: unknown,
   gone: boolean,
   base: number | undefined,
-  /** Both left out for an object without a status. */
+  /** `status` and `made` are both left out for an object without a status. */
   status?: unknown,
   made?: number,
 ];
@@ -42,7 +45,7 @@
 /** Finds an object by its revision. */
 export type ObjectAt = (revision: number) => StoredObject<unknown> | undefined;
 
-/** Renders an answer; `base` is an object that its receiver holds. */
+/** Encodes an answer. `base` is a version of the object that the receiver holds. */
 export function encodeStoreResult(
   result: StoreResult<Changes>,
   base?: StoredObject<unknown>,
@@ -52,17 +55,20 @@
     : [result.failure];
   const plain = encodeValue(content);
   const isLarge = plain.length > DEFLATE_FROM_BYTES;
-  const packing = isLarge ? Packing.Deflated : Packing.Plain;
+  const compression = isLarge ? Compression.Deflate : Compression.None;
   const bytes = isLarge ? deflateRawSync(plain, { level: DEFLATE_LEVEL }) : plain;
-  return Buffer.concat([Buffer.from([packing]), bytes]);
+  return Buffer.concat([Buffer.from([compression]), bytes]);
 }
 
-/** Reads an answer; undefined when it is none, or tells a difference from what is not known. */
+/**
+ * Decodes an answer. Undefined if the bytes are not a valid answer, or if they contain a difference
+ * from a version that `objectAt` does not find.
+ */
 export function decodeStoreResult(
   bytes: Buffer,
   objectAt: ObjectAt = () => undefined,
 ): StoreResult<Changes> | undefined {
-  const content = decodeValue(unpacked(bytes));
+  const content = decodeValue(decompress(bytes));
   if (!Array.isArray(content)) {
     return undefined;
   }
@@ -73,35 +79,35 @@
   if (typeof first !== 'number' || !Array.isArray(events) || !events.every(isWireEvent)) {
     return undefined;
   }
-  const read = events.map((event) => eventOf(event, objectAt));
-  return read.every((event) => event !== undefined)
-    ? { ok: true, value: { events: read, revision: first } }
+  const decoded = events.map((event) => eventOf(event, objectAt));
+  return decoded.every((event) => event !== undefined)
+    ? { ok: true, value: { events: decoded, revision: first } }
     : undefined;
 }
 
 function wireEventOf({ object, gone }: Event, base: StoredObject<unknown> | undefined): WireEvent {
   const { name, revision, spec, status, made } = object;
-  const rest = made === undefined ? ([] as const) : ([status, made] as const);
+  const statusFields = made === undefined ? ([] as const) : ([status, made] as const);
   if (base?.name !== name || gone) {
-    return [name, revision, spec, gone, undefined, ...rest];
+    return [name, revision, spec, gone, undefined, ...statusFields];
   }
   const { part, digest } = differenceOf(base.spec, spec);
-  return [name, revision, [part, digest], gone, base.revision, ...rest];
+  return [name, revision, [part, digest], gone, base.revision, ...statusFields];
 }
 
 function eventOf(
   [name, revision, content, gone, base, status, made]: WireEvent,
   objectAt: ObjectAt,
 ): Event | undefined {
-  const spec = typeof base === 'number' ? specFrom(objectAt(base), content) : content;
+  const spec = typeof base === 'number' ? patchedSpec(objectAt(base), content) : content;
   if (spec === undefined) {
     return undefined;
   }
-  const rest = typeof made === 'number' ? { status, made } : {};
-  return { object: { name, revision, spec, ...rest }, gone };
+  const statusFields = typeof made === 'number' ? { status, made } : {};
+  return { object: { name, revision, spec, ...statusFields }, gone };
 }
 
-function specFrom(base: StoredObject<unknown> | undefined, content: unknown): unknown {
+function patchedSpec(base: StoredObject<unknown> | undefined, content: unknown): unknown {
   const [part, digest] = Array.isArray(content) ? content : [];
   return base && Buffer.isBuffer(digest) ? applyDifference(base.spec, { part, digest }) : undefined;
 }
@@ -111,15 +117,15 @@
   return typeof name === 'string' && typeof revision === 'number' && typeof gone === 'boolean';
 }
 
-function unpacked(bytes: Buffer): Buffer {
+function decompress(bytes: Buffer): Buffer {
   const content = bytes.subarray(1);
-  if (bytes[0] !== Packing.Deflated) {
+  if (bytes[0] !== Compression.Deflate) {
     return content;
   }
   try {
     return inflateRawSync(content, { maxOutputLength: MAX_INFLATED_BYTES });
   } catch {
-    // Not an answer of ours: it decodes to nothing, and its sender counts as silent.
+    // An empty buffer does not decode to an answer, so the caller treats the reader as silent.
     return Buffer.alloc(0);
   }
 }
--- a/src/relay/zoneDiscoveryDelay.ts
+++ b/src/relay/zoneDiscoveryDelay.ts
@@ -1,29 +1,30 @@
-/** Gives the nodes of a zone that start together the time to find one another. */
+/** Delays the first watches of a node, so that nodes of a zone that start together find each other. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
 
 /**
- * Nodes that start together for the first time see none of the others in their first lists. The
- * watches of a node that knows no other of its zone begin this long after its start, in milliseconds:
- * the directory's first, so that the next one already knows whom to ask. Both are well inside the 3 s
- * or more that the users give a machine after its start.
+ * Delay of the first watches after the start of a node that has not found another node of its zone,
+ * in milliseconds. Nodes that start together for the first time do not see each other in their first
+ * lists of the directory. The watch of the directory begins first, so that the later watches can
+ * already be sent to a reader. Both delays are well below the 3 s or more that users allow a machine
+ * after its start.
  */
 const FIRST_WATCH_MS = 1_500;
 const LATER_WATCH_MS = 2_000;
 
-/** Pause between two looks whether the zone is known, in milliseconds. */
-const ZONE_TICK_MS = 50;
+/** Pause between two checks for other nodes of the zone, in milliseconds. */
+const ZONE_CHECK_INTERVAL_MS = 50;
 
-/** What is needed of the node. */
+/** Dependencies of the delay on the rest of the node. */
 export interface ZoneDiscoveryDelayContext {
   readonly clock: Clock;
   /** Kind of the records by which nodes find one another. */
   readonly nodeKind: string;
-  /** True while no other node of the zone is known. */
+  /** True while this node has found no other node of its zone. */
   readonly isAlone: () => boolean;
 }
 
-/** Resolves when a watch of this kind may begin. */
+/** Returns a function that resolves when a watch of the given kind may begin. */
 export function createZoneDiscoveryDelay(
   context: ZoneDiscoveryDelayContext,
 ): (kind: string) => Promise<void> {
@@ -32,7 +33,7 @@
   return async (kind) => {
     const until = startedAt + (kind === nodeKind ? FIRST_WATCH_MS : LATER_WATCH_MS);
     while (isAlone() && clock.now() < until) {
-      await delay(ZONE_TICK_MS);
+      await delay(ZONE_CHECK_INTERVAL_MS);
     }
   };
 }
