--- a/src/relay/difference.ts
+++ b/src/relay/difference.ts
@@ -1,7 +1,7 @@
 /**
- * Computes and applies the difference between two versions of an object, so that a node can send the
- * difference instead of the whole object. The versions share their structure (`shareStructure`), so
- * an unchanged part is recognised by its identity.
+ * Computes and applies the difference between two versions of an object, so that a node can send
+ * the difference instead of the whole object. The versions share their structure
+ * (`shareStructure`), so an unchanged part is recognised by its identity.
  */
 import { createHash } from 'node:crypto';
 import { encodeValue } from '../codec/frame.js';
--- a/src/relay/directWatches.ts
+++ b/src/relay/directWatches.ts
@@ -1,10 +1,10 @@
 /**
  * The watches that this node has waiting at the store itself. A watch that waits for seconds looks
  * the same as one whose connection has gone silent. So when a probe finds the store at a revision
- * that a watch should have reported and has not, the watch's question is sent again, without a wait.
- * A change on a silent connection is therefore late by at most two probes and one call: 1.3 s of an
- * allowed 2 s, plus the time by which the revision from the probes lags behind. Without this check,
- * the watch would end only after 13.5 s.
+ * that a watch should have reported and has not, the watch's request is sent again, without a
+ * wait. A change on a silent connection is therefore late by at most two probes and one call: 1.3 s
+ * of an allowed 2 s, plus the time by which the revision from the probes lags behind. Without this
+ * check, the watch would end only after 13.5 s.
  */
 import type { ObjectStore, StoreChanges, StoreError, StoreResult } from '../source/object-store.js';
 import { eraOf } from '../source/storeRevision.js';
@@ -42,7 +42,9 @@
    * the store has been restored from a copy.
    */
   noteEra(era: number): void;
-  /** Notes a revision that the store has reached, and checks the watches that have not reported it. */
+  /**
+   * Notes a revision that the store has reached, and checks the watches that have not reported it.
+   */
   noteRevision(revision: number): void;
 }
 
@@ -51,7 +53,7 @@
   readonly settle: (result: StoreResult<StoreChanges<never>> | undefined) => void;
   /** Revision of the store that the watch had not reported at an earlier call of `noteRevision`. */
   unreported: number | undefined;
-  /** True while the watch's question is sent again without a wait. */
+  /** True while the watch's request is sent again without a wait. */
   isChecking: boolean;
 }
 
--- a/src/relay/fallbackWatch.ts
+++ b/src/relay/fallbackWatch.ts
@@ -1,13 +1,13 @@
 /**
- * A watch that no reader of the node's own zone can answer. It is sent to the store itself while the
- * store answers, and to the reader of another zone while the store is suspected.
+ * A watch that no reader of the node's own zone can answer. It is sent to the store itself while
+ * the store answers, and to the reader of another zone while the store is suspected.
  */
 import type { StoreChanges, StoreError, StoreResult } from '../source/object-store.js';
 import type { StoreReachability } from './storeReachability.js';
 
 /**
- * Waits for the changes of a kind after a revision. `None` is the type of the value that is returned
- * if there is no result.
+ * Waits for the changes of a kind after a revision. `None` is the type of the value that is
+ * returned if there is no result.
  */
 export type WatchChanges<None> = <Spec>(
   kind: string,
--- a/src/relay/readerClient.ts
+++ b/src/relay/readerClient.ts
@@ -1,72 +1,76 @@
 /**
- * This node's questions to the nodes that read the store for others: whom it asks, how long it waits for
- * an answer, and who is left in peace for a while.
+ * Sends this node's queries to the nodes that read the store for others. It selects the reader to
+ * ask, limits the time to wait for an answer, and holds off from readers that have not answered.
  */
 import type { Clock } from '../model/clock.js';
 import type { StoreChanges, StoreQuery, StoreResult } from '../source/object-store.js';
 import type { StoreCache } from './storeCache.js';
 import type { ZoneAssignment, ZoneNode } from './zoneReaders.js';
 
-/** A reader that did not answer is not asked again for so long, in milliseconds. */
-const SILENT_REST_MS = 5_000;
+/** Backoff after a reader has not answered in time, in milliseconds. */
+const SILENT_READER_BACKOFF_MS = 5_000;
 
 /**
- * A reader that knows the list gives it at once. After a loss of power it is about to start itself, so
- * a node that starts does not wait for it longer than this, in milliseconds: the store serves it too.
+ * Timeout of a list request to a reader, in milliseconds. A reader that has the list answers at
+ * once. After a loss of power the reader may still be starting, so a node that starts waits for it
+ * no longer than this: it can get the list from the store.
  */
-const LIST_PATIENCE_MS = 150;
+const LIST_TIMEOUT_MS = 150;
 
 /**
- * A follower's watch of the directory waits so many times longer than that of a configuration: an
- * owner that is known late breaks no promise, and each watch costs both nodes processor time. One of
- * any other kind waits as long as it is asked to: it still brings each change at once, and what it is
- * about goes from node to node as well.
+ * Factor by which a follower's watch of the directory waits longer than its watch of the
+ * configuration: an owner that is discovered late breaks no guarantee, and each watch costs both
+ * nodes processor time. A watch of any other kind waits as long as its caller asks: it still
+ * returns each change at once, and nodes also announce these objects to one another.
  */
-const DIRECTORY_PACES = 4;
+const DIRECTORY_WAIT_FACTOR = 4;
 
-/** What a reader says for the store; undefined when none speaks for it. */
+/** A reader's answer in place of the store. Undefined if no reader gave one. */
 export type ReaderAnswer = StoreResult<StoreChanges<unknown>> | undefined;
 
-/** What is needed of the node. */
+/** Dependencies of the reader client on the rest of the node. */
 export interface ReaderClientContext {
   readonly clock: Clock;
   readonly cache: Pick<StoreCache, 'singleObjectRevision'>;
   /** Kind of the records by which nodes find one another. */
   readonly nodeKind: string;
-  /** Kind of the objects that are to be in force in time everywhere. */
+  /** Kind of the configuration, which must be in force on all nodes within a fixed time. */
   readonly configurationKind: string;
-  /** Milliseconds for which a follower's watch waits. */
+  /** Wait of a follower's watch of the configuration, in milliseconds. */
   readonly longPollMs: number;
-  /** Milliseconds beyond the pace after which a reader counts as silent. */
+  /** Milliseconds beyond the wait of a watch after which its reader counts as silent. */
   readonly responseTimeoutMs: number;
   readonly zoneAssignment: () => ZoneAssignment;
-  /** True while this node reads by itself, for others too. */
+  /** True while this node reads from the store directly, for other nodes too. */
   readonly isReader: () => boolean;
-  /** Asks a reader; undefined when it is silent. */
-  readonly ask: (address: string, question: StoreQuery, timeoutMs: number) => Promise<ReaderAnswer>;
-  /** A reader has spoken for the store. */
+  /** Sends a query to a reader. Resolves with undefined if the reader does not answer in time. */
+  readonly ask: (address: string, query: StoreQuery, timeoutMs: number) => Promise<ReaderAnswer>;
+  /** Called when a reader has answered in place of the store. */
   readonly onAnswered: () => void;
-  /** A reader was silent. */
+  /** Called when a reader has not answered in time. */
   readonly onTimeout: () => void;
-  /** The node now reads by way of another one (its name), or by itself, and why. */
+  /**
+   * Called when the reader in use changes, with its name and the cause. The name is undefined if
+   * this node now reads from the store directly.
+   */
   readonly onReaderChange: (reader: string | undefined, cause: string) => void;
 }
 
 export interface ReaderClient {
-  /** True while this node reads by way of another one. */
+  /** True while this node reads through another node. */
   readonly isFollowing: boolean;
-  /** The reader of the own zone to ask now; undefined for a node that is to ask the store. */
+  /** Returns the reader of the own zone to ask. Undefined if this node is to ask the store. */
   selectReader(): ZoneNode | undefined;
   /** Asks a reader for all objects of a kind. */
-  list(from: ZoneNode, kind: string): Promise<ReaderAnswer>;
+  list(reader: ZoneNode, kind: string): Promise<ReaderAnswer>;
   /**
-   * Asks a reader for the changes after a revision; if it cannot speak for the store, maybe another one
-   * that the node prefers.
+   * Asks a reader for the changes after a revision. If that reader cannot answer in place of the
+   * store, the query may go on to another reader that this node prefers.
    */
-  watch(from: ZoneNode, kind: string, revision: number, waitMs: number): Promise<ReaderAnswer>;
-  /** Asks another zone's reader: the store has not answered this node. */
-  askOtherZone(question: StoreQuery): Promise<ReaderAnswer>;
-  /** The node reads by itself now. */
+  watch(reader: ZoneNode, kind: string, revision: number, waitMs: number): Promise<ReaderAnswer>;
+  /** Asks a reader of another zone. For use when the store has not answered this node. */
+  askOtherZone(query: StoreQuery): Promise<ReaderAnswer>;
+  /** Notes that this node now reads from the store directly. */
   noteDirect(cause: string): void;
 }
 
@@ -81,85 +85,94 @@
     zoneAssignment,
     isReader,
   } = context;
-  const restingUntil = new Map<string, number>();
-  let reader: string | undefined;
+  const backoffUntil = new Map<string, number>();
+  let currentReader: string | undefined;
 
   const noteReader = (next: string | undefined, cause: string) => {
-    if (next !== reader) {
-      reader = next;
+    if (next !== currentReader) {
+      currentReader = next;
       context.onReaderChange(next, cause);
     }
   };
-  const isAwake = ({ address }: ZoneNode) => clock.now() >= (restingUntil.get(address) ?? 0);
+  const isAvailable = ({ address }: ZoneNode) => clock.now() >= (backoffUntil.get(address) ?? 0);
 
-  /** How long a follower's watch waits, in milliseconds: a silent reader is found out after that. */
+  /** Longest wait of a follower's watch, in milliseconds: the time to detect a silent reader. */
   const longestWaitMs = (kind: string): number => {
     if (kind === configurationKind) {
       return longPollMs;
     }
-    return kind === nodeKind ? longPollMs * DIRECTORY_PACES : Number.POSITIVE_INFINITY;
+    return kind === nodeKind ? longPollMs * DIRECTORY_WAIT_FACTOR : Number.POSITIVE_INFINITY;
   };
 
-  /** Undefined when the reader is silent; as unavailable when it cannot speak for the store now. */
-  const ask = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
-    const isList = question.revision === undefined;
-    const timeoutMs = isList ? LIST_PATIENCE_MS : question.waitMs + responseTimeoutMs;
-    const base = cache.singleObjectRevision(question.kind);
-    const result = await context.ask(from.address, { ...question, base }, timeoutMs);
-    if (spoken(result)) {
-      noteReader(from.node, 'answered');
+  /**
+   * Sends a query to a reader. Undefined if the reader is silent; a failure `unavailable` if it
+   * cannot answer in place of the store now.
+   */
+  const ask = async (reader: ZoneNode, query: StoreQuery): Promise<ReaderAnswer> => {
+    const isList = query.revision === undefined;
+    const timeoutMs = isList ? LIST_TIMEOUT_MS : query.waitMs + responseTimeoutMs;
+    const base = cache.singleObjectRevision(query.kind);
+    const result = await context.ask(reader.address, { ...query, base }, timeoutMs);
+    if (storeAnswer(result)) {
+      noteReader(reader.node, 'answered');
       context.onAnswered();
       return result;
     }
     if (!result) {
       context.onTimeout();
     }
-    restingUntil.set(from.address, clock.now() + (result ? longPollMs : SILENT_REST_MS));
-    noteReader(undefined, `${from.node} ${result ? 'unavailable' : 'silent'}`);
+    backoffUntil.set(
+      reader.address,
+      clock.now() + (result ? longPollMs : SILENT_READER_BACKOFF_MS),
+    );
+    noteReader(undefined, `${reader.node} ${result ? 'unavailable' : 'silent'}`);
     return result;
   };
 
-  /** A reader that comes before this one in the node's order and does not rest. */
+  /** The first available reader that precedes the given one in this node's order of preference. */
   const preferredTo = ({ address }: ZoneNode): ZoneNode | undefined => {
     const { readers } = zoneAssignment();
-    const place = readers.findIndex((each) => each.address === address);
-    return readers.slice(0, Math.max(place, 0)).find(isAwake);
+    const index = readers.findIndex((each) => each.address === address);
+    return readers.slice(0, Math.max(index, 0)).find(isAvailable);
   };
 
   /**
-   * Asks a reader, and if that has ceased to read, the one that it was asked in place of: a node that
-   * reads only because others asked it while their first reader rested ceases when they ask no more,
-   * and a watch that still waits there ends so. Readers that come after it are not asked: they know
-   * no earlier version of what this node holds, and would send it whole. A configuration is asked of
-   * the store at once, since the time within which it must be in force has room for one more call.
+   * Sends a watch to a reader. If that reader answers `unavailable`, the watch goes on to a reader
+   * that this node prefers to it. This happens when the first reader of some nodes was in backoff
+   * and they asked this reader in its place: it stops reading once they ask it no more, and a watch
+   * that still waits there then ends. Readers further down in the order are not asked: they do not
+   * have the version that this node holds, and would send the whole object. A configuration is
+   * requested from the store at once instead, since the time within which it must be in force
+   * leaves room for only one more call.
    */
-  const watch = async (from: ZoneNode, question: StoreQuery): Promise<ReaderAnswer> => {
-    const answer = await ask(from, question);
-    const hasCeased = answer !== undefined && !spoken(answer);
-    if (!hasCeased || question.kind === configurationKind || isReader()) {
-      return spoken(answer);
+  const watch = async (reader: ZoneNode, query: StoreQuery): Promise<ReaderAnswer> => {
+    const answer = await ask(reader, query);
+    const isUnavailable = answer !== undefined && !storeAnswer(answer);
+    if (!isUnavailable || query.kind === configurationKind || isReader()) {
+      return storeAnswer(answer);
     }
-    const preferred = preferredTo(from);
-    return preferred && (await watch(preferred, question));
+    const preferred = preferredTo(reader);
+    return preferred && (await watch(preferred, query));
   };
 
   return {
     get isFollowing() {
-      return reader !== undefined;
+      return currentReader !== undefined;
     },
-    selectReader: () => (isReader() ? undefined : zoneAssignment().readers.find(isAwake)),
-    list: async (from, kind) => spoken(await ask(from, { kind, revision: undefined, waitMs: 0 })),
-    watch: (from, kind, revision, waitMs) =>
-      watch(from, { kind, revision, waitMs: Math.min(waitMs, longestWaitMs(kind)) }),
-    askOtherZone: async (question) => {
-      const from = zoneAssignment().otherZoneReaders().find(isAwake);
-      return from && spoken(await ask(from, question));
+    selectReader: () => (isReader() ? undefined : zoneAssignment().readers.find(isAvailable)),
+    list: async (reader, kind) =>
+      storeAnswer(await ask(reader, { kind, revision: undefined, waitMs: 0 })),
+    watch: (reader, kind, revision, waitMs) =>
+      watch(reader, { kind, revision, waitMs: Math.min(waitMs, longestWaitMs(kind)) }),
+    askOtherZone: async (query) => {
+      const reader = zoneAssignment().otherZoneReaders().find(isAvailable);
+      return reader && storeAnswer(await ask(reader, query));
     },
     noteDirect: (cause) => noteReader(undefined, cause),
   };
 }
 
-/** An answer that speaks for the store. */
-function spoken(answer: ReaderAnswer): ReaderAnswer {
+/** Returns an answer that a reader gave in place of the store. Undefined for any other failure. */
+function storeAnswer(answer: ReaderAnswer): ReaderAnswer {
   return answer?.ok || answer?.failure === 'history-gone' ? answer : undefined;
 }
--- a/src/relay/relayedStore.ts
+++ b/src/relay/relayedStore.ts
@@ -1,9 +1,10 @@
 /**
- * The store as a node of a zone sees it: a few nodes of each zone watch the store, the others watch
- * them. A node turns to the store itself as soon as its reader is silent or says that the store does
- * not answer it, and to the reader of another zone if the store does not answer itself either.
- * Writes always go to the store. So do lists that must be of now, except the one after a reader has said
- * that it no longer knows the changes, and where the store does not answer: a reader gives these.
+ * An object store whose reads go through the readers of the zone: a few nodes of each zone watch
+ * the store, and the other nodes watch these readers. A node asks the store itself as soon as its
+ * reader is silent or reports that the store does not answer, and asks the reader of another zone
+ * if the store does not answer this node either. Writes always go to the store. So do lists with
+ * strong consistency, with two exceptions that a reader answers: the list after a reader has
+ * reported that it no longer has the changes, and a list that the store does not answer.
  */
 import {
   type ObjectStore,
@@ -21,10 +22,12 @@
 import { createZoneDiscoveryDelay } from './zoneDiscoveryDelay.js';
 import { ZoneRole } from './zoneReaders.js';
 
-/** A node goes on reading for others so long after it was last asked, in milliseconds. */
-const ASKED_LIFETIME_MS = 5_000;
+/**
+ * Milliseconds after another node's last query for which this node continues to read for others.
+ */
+const FOLLOWER_TIMEOUT_MS = 5_000;
 
-/** What is needed of the node. */
+/** Dependencies of the relayed store on the rest of the node. */
 export interface RelayedStoreContext
   extends Omit<ReaderClientContext, 'isReader' | 'onAnswered' | 'onTimeout'> {
   /** The store itself. */
@@ -34,34 +37,34 @@
   readonly watches: DirectWatches;
 }
 
-/** An object store that also tells the node's present way to it. */
+/** An object store that also reports how this node reads it at present. */
 export interface RelayedStore extends ObjectStore {
-  /** True while this node reads by way of another one. */
+  /** True while this node reads through another node. */
   readonly isFollowing: boolean;
-  /** True while this node reads for others. */
+  /** True while this node reads for other nodes. */
   readonly isReader: boolean;
-  /** True while others ask this node. */
+  /** True while other nodes read through this node. */
   readonly hasFollowers: boolean;
-  /** True while no reader of the own zone speaks for some watch of this node. */
+  /** True while this node has a watch that no reader of its own zone answers. */
   readonly hasFallbackWatch: boolean;
-  /** Steady time in milliseconds at which the store itself last answered this node. */
+  /** Steady time in milliseconds of the store's last answer to this node. */
   readonly answeredAt: number;
-  /** Ends the node's own watches if a reader can be asked instead. */
+  /** Ends this node's watches at the store if a reader can be asked instead. */
   releaseDirectWatches(): void;
 }
 
 export function createRelayedStore(context: RelayedStoreContext): RelayedStore {
   const { clock, store, cache, reach, watches, nodeKind, longPollMs, zoneAssignment } = context;
-  /** Kinds whose reader no longer knows the changes since this node's revision. */
-  const toList = new Set<string>();
+  /** Kinds whose reader no longer has the changes since this node's revision. */
+  const kindsToList = new Set<string>();
 
-  const isAsked = () => clock.now() - cache.lastReadAt < ASKED_LIFETIME_MS;
-  const isReader = () => zoneAssignment().role === ZoneRole.Reader || isAsked();
+  const hasFollowers = () => clock.now() - cache.lastReadAt < FOLLOWER_TIMEOUT_MS;
+  const isReader = () => zoneAssignment().role === ZoneRole.Reader || hasFollowers();
   const readers = createReaderClient({
     ...context,
     isReader,
     onAnswered: () => watches.releaseAll(),
-    // What silenced one connection of this node may have silenced those to the store.
+    // The fault that silenced the connection to the reader may also affect those to the store.
     onTimeout: () => store.closeIdle(),
   });
 
@@ -80,14 +83,15 @@
     reach.noteAnswered();
     return { ok: true, value: cache.noteChanges(kind, revision, result.value) };
   };
-  const listStore = async <Spec>(kind: string, reading: ReadConsistency) => {
-    const result = await store.list<Spec>(kind, reading);
+  const listStore = async <Spec>(kind: string, consistency: ReadConsistency) => {
+    const result = await store.list<Spec>(kind, consistency);
     if (!result.ok) {
       return result;
     }
-    const value = cache.noteList(kind, result.value, reading);
+    const value = cache.noteList(kind, result.value, consistency);
     if (value.revision < (cache.revisionOf(kind) ?? 0)) {
-      // Its asker does not take it, so it proves nothing: nodes that were told so answered 404 for new routes.
+      // The caller ignores a list that is older than the cache, so the list does not count as an
+      // answer of the store. When it did, nodes answered 404 for new routes.
       cache.markStale(kind);
     } else {
       reach.noteAnswered();
@@ -95,33 +99,33 @@
     return { ok: true, value } as const;
   };
 
-  const zoneKnown = createZoneDiscoveryDelay({
+  const untilZoneDiscovered = createZoneDiscoveryDelay({
     clock,
     nodeKind,
     isAlone: () => zoneAssignment().role === ZoneRole.Alone,
   });
 
-  /** What a reader has answered is known here from now on. */
-  const taken = <Spec>(
+  /** Caches a reader's answer. */
+  const cacheAnswer = <Spec>(
     kind: string,
     revision: number,
     answer: StoreResult<StoreChanges<unknown>>,
   ): StoreResult<StoreChanges<Spec>> => {
     if (!answer.ok) {
-      toList.add(kind);
+      kindsToList.add(kind);
       return answer;
     }
     const changes = answer.value as StoreChanges<Spec>;
     return { ok: true, value: cache.noteChanges(kind, revision, changes) };
   };
 
-  const alone = createFallbackWatch({
+  const fallbackWatch = createFallbackWatch({
     reach,
     longPollMs,
     watchStore,
     watchOtherZone: async <Spec>(kind: string, revision: number, waitMs: number) => {
       const answer = await readers.askOtherZone({ kind, revision, waitMs });
-      return answer && taken<Spec>(kind, revision, answer);
+      return answer && cacheAnswer<Spec>(kind, revision, answer);
     },
     onStoreAnswered: () => readers.noteDirect(zoneAssignment().role),
   });
@@ -134,23 +138,24 @@
       return isReader();
     },
     get hasFollowers() {
-      return isAsked();
+      return hasFollowers();
     },
     get hasFallbackWatch() {
-      return alone.isActive;
+      return fallbackWatch.isActive;
     },
     get answeredAt() {
       return reach.answeredAt;
     },
     list: async <Spec>(
       kind: string,
-      reading: ReadConsistency,
+      consistency: ReadConsistency,
     ): Promise<StoreResult<StoreListing<Spec>>> => {
-      const mayAsk = toList.delete(kind) || reading === ReadConsistency.BoundedStaleness;
-      const from = mayAsk ? readers.selectReader() : undefined;
-      let answer = from && (await readers.list(from, kind));
+      const mayAskReader =
+        kindsToList.delete(kind) || consistency === ReadConsistency.BoundedStaleness;
+      const reader = mayAskReader ? readers.selectReader() : undefined;
+      let answer = reader && (await readers.list(reader, kind));
       if (!answer?.ok) {
-        const result = await listStore<Spec>(kind, reading);
+        const result = await listStore<Spec>(kind, consistency);
         answer = result.ok
           ? undefined
           : await readers.askOtherZone({ kind, revision: undefined, waitMs: 0 });
@@ -160,22 +165,22 @@
       }
       const { events, revision } = answer.value;
       const items = events.map(({ object }) => object as StoredObject<Spec>);
-      return { ok: true, value: cache.noteList(kind, { items, revision }, reading) };
+      return { ok: true, value: cache.noteList(kind, { items, revision }, consistency) };
     },
     watch: async <Spec>(
       kind: string,
       revision: number,
       waitMs: number,
     ): Promise<StoreResult<StoreChanges<Spec>>> => {
-      await zoneKnown(kind);
-      const from = readers.selectReader();
-      if (!from) {
-        return alone.watch<Spec>(kind, revision, waitMs);
+      await untilZoneDiscovered(kind);
+      const reader = readers.selectReader();
+      if (!reader) {
+        return fallbackWatch.watch<Spec>(kind, revision, waitMs);
       }
-      const answer = await readers.watch(from, kind, revision, waitMs);
+      const answer = await readers.watch(reader, kind, revision, waitMs);
       return answer
-        ? taken<Spec>(kind, revision, answer)
-        : alone.watch<Spec>(kind, revision, CATCH_UP_WAIT_MS);
+        ? cacheAnswer<Spec>(kind, revision, answer)
+        : fallbackWatch.watch<Spec>(kind, revision, CATCH_UP_WAIT_MS);
     },
     get: async <Spec>(kind: string, name: string): Promise<StoreResult<StoredObject<Spec>>> => {
       const result = await store.get<Spec>(kind, name);
--- a/src/relay/storeCache.ts
+++ b/src/relay/storeCache.ts
@@ -1,7 +1,7 @@
 /**
- * What this node knows of the store, kept so that the other nodes of its zone can read it here.
- * For each object only its last change is kept: who asks from an earlier revision wants to come up
- * to date, not to see every step.
+ * Caches the objects of the store that this node has read, so that other nodes of its zone can read
+ * them here. For each object only the last change is kept: a node that asks from an earlier
+ * revision needs the present state, not every step on the way.
  */
 import type { Clock } from '../model/clock.js';
 import { createWaiters, type Waiters } from '../model/waiters.js';
@@ -19,274 +19,289 @@
 import type { StoreReachability } from './storeReachability.js';
 
 /**
- * Earlier versions of objects that are kept for each kind: a follower that holds one of them is told
- * the difference. In a storm of five versions a second they reach back six seconds; they share what
- * they have in common, so that a version of 1,600 routes adds some 15 KB.
+ * Earlier versions of objects that are kept for each kind: a follower that holds one of them is
+ * sent only the difference. At five versions a second they reach back six seconds. They share the
+ * parts that are equal, so a version of 1,600 routes adds about 15 KB.
  */
-const MAX_EARLIER = 32;
+const MAX_EARLIER_VERSIONS = 32;
 
-/** Removed objects that are remembered for each kind; an older revision has to list anew. */
+/**
+ * Removed objects that are kept for each kind. A node that asks from a revision before the oldest
+ * of them has to list the kind again.
+ */
 const MAX_REMOVED = 1_024;
 
-/** What is needed of the node. */
+/** Dependencies of the cache on the rest of the node. */
 export interface StoreCacheContext {
   readonly clock: Clock;
   readonly reach: Pick<StoreReachability, 'answeredAt'>;
-  /** The newest era that the store has told. */
+  /** The newest era that the store has reported. */
   readonly era: () => number;
-  /** Milliseconds after the store's last answer for which the cache may speak for it. */
+  /** Milliseconds after the store's last answer for which the cache may answer in its place. */
   readonly freshMs: number;
 }
 
-/** Speaks for the store while the store answers this node itself. */
+/** Answers other nodes in place of the store, while the store answers this node. */
 export interface StoreCache {
   /** Steady time in milliseconds at which another node last asked; minus infinity if none did. */
   readonly lastReadAt: number;
-  /** True while the store itself has answered this node lately. */
+  /** True while the store's last answer to this node is at most `freshMs` old. */
   readonly isFresh: boolean;
-  /** Returns the list with what it shares with what was known. */
+  /** Caches a list and returns it, sharing its structure with the cached objects. */
   noteList<Spec>(
     kind: string,
     listing: StoreListing<Spec>,
-    reading?: ReadConsistency,
+    consistency?: ReadConsistency,
   ): StoreListing<Spec>;
-  /** Returns the changes with what they share with what was known. */
+  /** Caches changes and returns them, sharing their structure with the cached objects. */
   noteChanges<Spec>(kind: string, from: number, changes: StoreChanges<Spec>): StoreChanges<Spec>;
   /**
-   * Takes the only object of its kind as it is now, and returns it with what it shares with what was
-   * known. Of a kind with several objects the others may have changed as well: nothing is noted.
+   * Caches the present version of an object that is the only one of its kind, and returns it,
+   * sharing its structure with the cached version. If the kind has several objects, nothing is
+   * cached, since the others may have changed as well.
    */
   noteObject<Spec>(kind: string, object: StoredObject<Spec>): StoredObject<Spec>;
   /**
-   * What is known of a kind need not be what the store holds now: the store no longer knows the changes since,
-   * or its list was older. Nothing is told of it until the next list or change that is taken.
+   * Marks the cached objects of a kind as possibly outdated, because the store no longer has the
+   * changes since then or because a list from it was older than the cache. The cache does not
+   * answer for the kind until the next list or change that it accepts.
    */
   markStale(kind: string): void;
-  /** Newest revision up to which all changes of a kind are known. */
+  /** Newest revision up to which the cache has all changes of a kind. */
   revisionOf(kind: string): number | undefined;
   /** Revision of the object of a kind that has only one. */
   singleObjectRevision(kind: string): number | undefined;
-  /** The object of this revision, present or earlier, while it is kept. */
+  /** The present or an earlier version of an object by its revision, if it is still cached. */
   objectAt(kind: string, revision: number): StoredObject<unknown> | undefined;
-  /** Answers another node; `unavailable` as soon as the cache is not fresh. */
-  read(question: StoreQuery): Promise<StoreResult<StoreChanges<unknown>>>;
+  /** Answers another node's query; `unavailable` as soon as the cache is not fresh. */
+  read(query: StoreQuery): Promise<StoreResult<StoreChanges<unknown>>>;
 }
 
 interface LastChange {
   readonly event: StoreEvent<unknown>;
-  /** The store's revision when this node learnt of the change; never below the change's own. */
-  readonly at: number;
+  /** Revision of the store when this node received the change; never below the object's own. */
+  readonly notedAt: number;
 }
 
 interface CachedKind {
-  /** In the order in which they were learnt. */
+  /** In the order in which this node received them. */
   readonly changes: Map<string, LastChange>;
-  /** Versions that have been replaced, the oldest first. */
+  /** Replaced versions, oldest first. */
   readonly earlier: StoredObject<unknown>[];
-  /** Every change after this revision is known. */
-  since: number;
+  /** Every change after this revision is in `changes`. */
+  completeSince: number;
   revision: number;
-  removed: number;
-  isInDoubt: boolean;
-  /** False while all that is known comes from a list that may lag, maybe of before the store came back from a copy. */
-  isProven: boolean;
-  /** Those who are to be told of the next change. */
-  readonly waiting: Waiters;
+  removedCount: number;
+  isStale: boolean;
+  /**
+   * False while the only source is a list that may lag. Such a list may even be from before the
+   * store was restored from a copy.
+   */
+  isConfirmed: boolean;
+  /** Reads that wait for the next change. */
+  readonly waiters: Waiters;
 }
 
 export function createStoreCache(context: StoreCacheContext): StoreCache {
   const { clock, reach, era, freshMs } = context;
   const kinds = new Map<string, CachedKind>();
-  let askedAt = Number.NEGATIVE_INFINITY;
+  let lastReadAt = Number.NEGATIVE_INFINITY;
 
   const freshLeftMs = () => reach.answeredAt + freshMs - clock.now();
-  /** False while this node or the asker knows of a later era of the store. */
-  const isCurrent = ({ isInDoubt, revision }: CachedKind, { revision: from = 0 }: StoreQuery) =>
-    !isInDoubt && eraOf(revision) >= Math.max(era(), eraOf(from));
-  const answerOf = (cached: CachedKind, question: StoreQuery) => {
-    const { revision } = question;
-    if (revision !== undefined && revision < cached.since) {
+  /** False while this node or the asking node has seen a later era than that of the cached kind. */
+  const isCurrent = ({ isStale, revision }: CachedKind, { revision: from = 0 }: StoreQuery) =>
+    !isStale && eraOf(revision) >= Math.max(era(), eraOf(from));
+  const answerOf = (cached: CachedKind, query: StoreQuery) => {
+    const { revision } = query;
+    if (revision !== undefined && revision < cached.completeSince) {
       return failed('history-gone');
     }
     const events = [...cached.changes.values()]
-      .filter(({ event, at }) => (revision === undefined ? !event.gone : at > revision))
+      .filter(({ event, notedAt }) => (revision === undefined ? !event.gone : notedAt > revision))
       .map(({ event }) => event);
     return { ok: true, value: { events, revision: cached.revision } } as const;
   };
 
   return {
     get lastReadAt() {
-      return askedAt;
+      return lastReadAt;
     },
     get isFresh() {
       return freshLeftMs() > 0;
     },
-    noteList: (kind, listing, reading = ReadConsistency.Strong) => {
-      const known = kinds.get(kind);
-      const isNow = reading === ReadConsistency.Strong;
-      if (!known || (isNow && !known.isProven && listing.revision < known.revision)) {
-        kinds.set(kind, listed(listing, isNow));
-        known?.waiting.wakeAll();
+    noteList: (kind, listing, consistency = ReadConsistency.Strong) => {
+      const cached = kinds.get(kind);
+      const isStrong = consistency === ReadConsistency.Strong;
+      if (!cached || (isStrong && !cached.isConfirmed && listing.revision < cached.revision)) {
+        kinds.set(kind, cachedKindOf(listing, isStrong));
+        cached?.waiters.wakeAll();
         return listing;
       }
-      known.isProven ||= isNow;
-      const items = listing.items.map((object) => shareWithKnown(known, object));
-      if (listing.revision > known.revision) {
-        bringUpToDate(known, items, listing.revision);
+      cached.isConfirmed ||= isStrong;
+      const items = listing.items.map((object) => shareWithCached(cached, object));
+      if (listing.revision > cached.revision) {
+        applyListing(cached, items, listing.revision);
       }
-      if (listing.revision >= known.revision) {
-        known.isInDoubt = false;
-        known.waiting.wakeAll();
+      if (listing.revision >= cached.revision) {
+        cached.isStale = false;
+        cached.waiters.wakeAll();
       }
       return { ...listing, items };
     },
     noteChanges: (kind, from, changes) => {
-      const known = kinds.get(kind);
-      if (!known || from > known.revision) {
+      const cached = kinds.get(kind);
+      if (!cached || from > cached.revision) {
         return changes;
       }
       const { revision } = changes;
       const events = changes.events.map((event) => {
-        const shared = { ...event, object: shareWithKnown(known, event.object) };
-        noteChange(known, shared, revision);
+        const shared = { ...event, object: shareWithCached(cached, event.object) };
+        recordChange(cached, shared, revision);
         return shared;
       });
-      const wasInDoubt = known.isInDoubt;
-      known.isInDoubt = false;
-      known.isProven = true;
-      known.revision = Math.max(known.revision, revision);
-      forgetRemoved(known);
-      if (events.length > 0 || wasInDoubt) {
-        known.waiting.wakeAll();
+      const wasStale = cached.isStale;
+      cached.isStale = false;
+      cached.isConfirmed = true;
+      cached.revision = Math.max(cached.revision, revision);
+      evictRemoved(cached);
+      if (events.length > 0 || wasStale) {
+        cached.waiters.wakeAll();
       }
       return { events, revision };
     },
     noteObject: (kind, object) => {
-      const known = kinds.get(kind);
-      if (!known || onlyObject(known)?.name !== object.name) {
+      const cached = kinds.get(kind);
+      if (!cached || singleObject(cached)?.name !== object.name) {
         return object;
       }
-      const shared = shareWithKnown(known, object);
-      if (object.revision > known.revision) {
-        noteChange(known, { object: shared, gone: false }, object.revision);
-        known.revision = object.revision;
-        known.waiting.wakeAll();
+      const shared = shareWithCached(cached, object);
+      if (object.revision > cached.revision) {
+        recordChange(cached, { object: shared, gone: false }, object.revision);
+        cached.revision = object.revision;
+        cached.waiters.wakeAll();
       }
       return shared;
     },
     markStale: (kind) => {
-      const known = kinds.get(kind);
-      if (known) {
-        known.isInDoubt = true;
+      const cached = kinds.get(kind);
+      if (cached) {
+        cached.isStale = true;
       }
     },
     revisionOf: (kind) => kinds.get(kind)?.revision,
     singleObjectRevision: (kind) => {
-      const known = kinds.get(kind);
-      return known && onlyObject(known)?.revision;
+      const cached = kinds.get(kind);
+      return cached && singleObject(cached)?.revision;
     },
     objectAt: (kind, revision) => {
-      const known = kinds.get(kind);
-      const isIt = (object: StoredObject<unknown>) => object.revision === revision;
-      const present = [...(known?.changes.values() ?? [])].map(({ event }) => event.object);
-      return known?.earlier.findLast(isIt) ?? present.find(isIt);
+      const cached = kinds.get(kind);
+      const hasRevision = (object: StoredObject<unknown>) => object.revision === revision;
+      const present = [...(cached?.changes.values() ?? [])].map(({ event }) => event.object);
+      return cached?.earlier.findLast(hasRevision) ?? present.find(hasRevision);
     },
-    read: async (question) => {
-      askedAt = clock.now();
-      const until = askedAt + question.waitMs;
+    read: async (query) => {
+      lastReadAt = clock.now();
+      const until = lastReadAt + query.waitMs;
       for (;;) {
-        const cached = kinds.get(question.kind);
+        const cached = kinds.get(query.kind);
         if (!cached || freshLeftMs() <= 0) {
           return failed('unavailable');
         }
-        const answer = isCurrent(cached, question) ? answerOf(cached, question) : NOTHING_KNOWN;
-        const hasNews = answer !== NOTHING_KNOWN && (!answer.ok || answer.value.events.length > 0);
+        const answer = isCurrent(cached, query) ? answerOf(cached, query) : NOT_CURRENT;
+        const isFinal = answer !== NOT_CURRENT && (!answer.ok || answer.value.events.length > 0);
         const leftMs = until - clock.now();
-        if (hasNews || question.revision === undefined || leftMs <= 0) {
+        if (isFinal || query.revision === undefined || leftMs <= 0) {
           return answer;
         }
-        await cached.waiting.wait(Math.min(leftMs, freshLeftMs()));
+        await cached.waiters.wait(Math.min(leftMs, freshLeftMs()));
       }
     },
   };
 }
 
-const NOTHING_KNOWN = failed('unavailable');
+const NOT_CURRENT = failed('unavailable');
 
-function listed({ items, revision }: StoreListing<unknown>, isProven: boolean): CachedKind {
+function cachedKindOf(
+  { items, revision }: StoreListing<unknown>,
+  isConfirmed: boolean,
+): CachedKind {
   const changes = new Map(
-    items.map((object) => [object.name, { event: { object, gone: false }, at: object.revision }]),
+    items.map((object) => [
+      object.name,
+      { event: { object, gone: false }, notedAt: object.revision },
+    ]),
   );
   return {
     changes,
     earlier: [],
-    since: revision,
+    completeSince: revision,
     revision,
-    removed: 0,
-    isInDoubt: false,
-    isProven,
-    waiting: createWaiters(),
+    removedCount: 0,
+    isStale: false,
+    isConfirmed,
+    waiters: createWaiters(),
   };
 }
 
-/** The object of a kind that has no other. */
-function onlyObject(known: CachedKind): StoredObject<unknown> | undefined {
-  const [only, ...others] = known.changes.values();
+/** The object of a kind that has only one. */
+function singleObject(cached: CachedKind): StoredObject<unknown> | undefined {
+  const [only, ...others] = cached.changes.values();
   return only && others.length === 0 && !only.event.gone ? only.event.object : undefined;
 }
 
-function shareWithKnown<Spec>(known: CachedKind, object: StoredObject<Spec>): StoredObject<Spec> {
-  const last = known.changes.get(object.name)?.event.object.spec;
+function shareWithCached<Spec>(cached: CachedKind, object: StoredObject<Spec>): StoredObject<Spec> {
+  const last = cached.changes.get(object.name)?.event.object.spec;
   return { ...object, spec: shareStructure(last, object.spec) };
 }
 
-/** A list instead of the changes since: what differs from it has changed meanwhile. */
-function bringUpToDate(
-  known: CachedKind,
+/** Records the differences between a list and the cached objects as changes. */
+function applyListing(
+  cached: CachedKind,
   items: readonly StoredObject<unknown>[],
   revision: number,
 ): void {
   const present = new Set(items.map(({ name }) => name));
-  for (const { event } of [...known.changes.values()]) {
+  for (const { event } of [...cached.changes.values()]) {
     if (!event.gone && !present.has(event.object.name)) {
-      noteChange(known, { object: event.object, gone: true }, revision);
+      recordChange(cached, { object: event.object, gone: true }, revision);
     }
   }
   for (const object of items) {
-    const last = known.changes.get(object.name)?.event;
+    const last = cached.changes.get(object.name)?.event;
     if (!last || last.gone || last.object.revision !== object.revision) {
-      noteChange(known, { object, gone: false }, revision);
+      recordChange(cached, { object, gone: false }, revision);
     }
   }
-  known.revision = revision;
-  forgetRemoved(known);
+  cached.revision = revision;
+  evictRemoved(cached);
 }
 
-function noteChange(cached: CachedKind, event: StoreEvent<unknown>, at: number): void {
+function recordChange(cached: CachedKind, event: StoreEvent<unknown>, notedAt: number): void {
   const { name, revision } = event.object;
   const last = cached.changes.get(name);
-  if (last && last.at >= at && last.event.object.revision > revision) {
+  if (last && last.notedAt >= notedAt && last.event.object.revision > revision) {
     return;
   }
   if (last && !last.event.gone && last.event.object.revision !== revision) {
     cached.earlier.push(last.event.object);
-    cached.earlier.splice(0, cached.earlier.length - MAX_EARLIER);
+    cached.earlier.splice(0, cached.earlier.length - MAX_EARLIER_VERSIONS);
   }
-  cached.removed += Number(event.gone) - Number(last?.event.gone ?? false);
-  // Put in anew, so that the order stays that of the changes.
+  cached.removedCount += Number(event.gone) - Number(last?.event.gone ?? false);
+  // Deleted first, so that the map keeps the order of the changes.
   cached.changes.delete(name);
-  cached.changes.set(name, { event, at });
+  cached.changes.set(name, { event, notedAt });
 }
 
-function forgetRemoved(cached: CachedKind): void {
-  for (const [name, { event, at }] of cached.changes) {
-    if (cached.removed <= MAX_REMOVED) {
+/** Evicts the oldest removed objects above the limit of {@link MAX_REMOVED}. */
+function evictRemoved(cached: CachedKind): void {
+  for (const [name, { event, notedAt }] of cached.changes) {
+    if (cached.removedCount <= MAX_REMOVED) {
       return;
     }
     if (event.gone) {
       cached.changes.delete(name);
-      cached.removed -= 1;
-      cached.since = Math.max(cached.since, at);
+      cached.removedCount -= 1;
+      cached.completeSince = Math.max(cached.completeSince, notedAt);
     }
   }
 }
--- a/src/relay/storeProbe.ts
+++ b/src/relay/storeProbe.ts
@@ -1,7 +1,7 @@
 /**
- * Probes the store at regular intervals while this node reads from it directly. A watch may wait for
- * a long time; if only the answers to watches showed that the store is reachable, the watches would
- * have to be short and sent again and again.
+ * Probes the store at regular intervals while this node reads from it directly. A watch may wait
+ * for a long time; if only the answers to watches showed that the store is reachable, the watches
+ * would have to be short and sent again and again.
  */
 import type { Clock } from '../model/clock.js';
 import type { ObjectStore } from '../source/object-store.js';
--- a/src/relay/storeReachability.ts
+++ b/src/relay/storeReachability.ts
@@ -1,8 +1,8 @@
 /**
- * Tracks whether the store answers this node. When a call is not answered in time, the store becomes
- * suspected, and every call sent before then may stay unanswered: connections can go silent for good
- * while new ones work, and a store that was silent for a while may never answer the calls that it
- * was sent in that time.
+ * Tracks whether the store answers this node. When a call is not answered in time, the store
+ * becomes suspected, and every call sent before then may stay unanswered: connections can go silent
+ * for good while new ones work, and a store that was silent for a while may never answer the calls
+ * that it was sent in that time.
  */
 import type { Clock } from '../model/clock.js';
 import { createWaiters } from '../model/waiters.js';
@@ -15,7 +15,9 @@
 }
 
 export interface StoreReachability {
-  /** Steady time in milliseconds of the store's last answer to this node; minus infinity if none. */
+  /**
+   * Steady time in milliseconds of the store's last answer to this node; minus infinity if none.
+   */
   readonly answeredAt: number;
   /** True from a call that is not answered in time until the store's next answer. */
   readonly isSuspected: boolean;
--- a/src/relay/storeResultCodec.ts
+++ b/src/relay/storeResultCodec.ts
@@ -1,6 +1,6 @@
 /**
- * Encodes a reader's answer to its followers as CBOR, deflated if it is large. If the follower holds
- * an earlier version of an object, only the difference from that version is sent.
+ * Encodes a reader's answer to its followers as CBOR, deflated if it is large. If the follower
+ * holds an earlier version of an object, only the difference from that version is sent.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { decodeValue, encodeValue } from '../codec/frame.js';
--- a/src/relay/zoneDiscoveryDelay.ts
+++ b/src/relay/zoneDiscoveryDelay.ts
@@ -1,13 +1,15 @@
-/** Delays the first watches of a node, so that nodes of a zone that start together find each other. */
+/**
+ * Delays the first watches of a node, so that nodes of a zone that start together find each other.
+ */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
 
 /**
  * Delay of the first watches after the start of a node that has not found another node of its zone,
- * in milliseconds. Nodes that start together for the first time do not see each other in their first
- * lists of the directory. The watch of the directory begins first, so that the later watches can
- * already be sent to a reader. Both delays are well below the 3 s or more that users allow a machine
- * after its start.
+ * in milliseconds. Nodes that start together for the first time do not see each other in their
+ * first lists of the directory. The watch of the directory begins first, so that the later watches
+ * can already be sent to a reader. Both delays are well below the 3 s or more that users allow a
+ * machine after its start.
  */
 const FIRST_WATCH_MS = 1_500;
 const LATER_WATCH_MS = 2_000;
--- a/src/relay/zoneReaders.ts
+++ b/src/relay/zoneReaders.ts
@@ -1,18 +1,19 @@
 /**
- * Which nodes of a zone read the store for the others: those whose links carry most, since a reader
- * takes each version in whole and gives it to many. All nodes rank their zone's nodes by link and,
- * among links that are about alike, by rendezvous hashing, so they agree without asking one another;
- * where two views differ for a while, a node that is asked reads, whatever its own rank.
+ * Selects the nodes of a zone that read the store for the others: the nodes with the fastest links,
+ * since a reader receives each version whole and sends it to many nodes. Every node ranks the nodes
+ * of its zone by link speed and, among links of similar speed, by rendezvous hashing, so that all
+ * nodes agree without messages. While the views of two nodes differ, a node that receives a query
+ * reads, whatever its own rank.
  */
 import { rankNames } from '../model/rendezvous.js';
 
-/** Smallest zone in which a node reads for others. */
-const SMALLEST_ZONE = 2;
+/** Nodes from which on a zone has a reader. */
+const MIN_ZONE_SIZE = 2;
 
-/** Nodes for each reader: a change goes to so many over the reader's own link, one after the other. */
+/** Nodes for each reader: the reader sends a change to all of them in turn over its own link. */
 const NODES_PER_READER = 16;
 
-/** Readers beyond those that are needed, to turn to when one fails. */
+/** Additional nodes in the list of readers, to ask when a reader fails. */
 const SPARE_READERS = 1;
 
 /** A node that may read for others. */
@@ -21,7 +22,7 @@
   readonly zone: string;
   /** `host:port` for other nodes. */
   readonly address: string;
-  /** Megabits a second that its link carries, as far as its settings tell. */
+  /** Speed of its link in megabits a second. Undefined if its settings do not give it. */
   readonly linkMbps?: number;
 }
 
@@ -35,17 +36,23 @@
 
 export interface ZoneAssignment {
   readonly role: ZoneRole;
-  /** Readers to ask, the preferred one first; none for other roles than follower. */
+  /** Readers to ask, in order of preference. Empty unless the role is follower. */
   readonly readers: readonly ZoneNode[];
-  /** The first reader of each other zone, for a node that the store turns away; rarely needed. */
+  /**
+   * The first reader of each other zone, for a node that the store does not answer. A function,
+   * since it is rarely needed.
+   */
   readonly otherZoneReaders: () => readonly ZoneNode[];
 }
 
-/** `nodes` are all known nodes that are not known to be away, `own` among them. */
+/**
+ * Assigns this node's role. `nodes` are all nodes of the directory except those known to be away;
+ * they include `own`.
+ */
 export function assignZoneRole(own: ZoneNode, nodes: readonly ZoneNode[]): ZoneAssignment {
   const zone = nodes.filter((node) => node.zone === own.zone);
   const otherZoneReaders = () => readersElsewhere(own, nodes);
-  if (zone.length < SMALLEST_ZONE) {
+  if (zone.length < MIN_ZONE_SIZE) {
     return { role: ZoneRole.Alone, readers: [], otherZoneReaders };
   }
   const ranked = ranking(zone);
@@ -54,7 +61,7 @@
   if (readers.some(({ node }) => node === own.node)) {
     return { role: ZoneRole.Reader, readers: [], otherZoneReaders };
   }
-  // Each follower prefers another one of the readers, so that they share the work.
+  // The order of the readers differs between followers, so that the readers share the work.
   const order = [...ranking(readers, own.node), ...ranked.slice(count, count + SPARE_READERS)];
   const others = order.filter(({ node }) => node !== own.node);
   return { role: ZoneRole.Follower, readers: others, otherZoneReaders };
@@ -69,14 +76,16 @@
   return ranking(first, own.node);
 }
 
-/** Nodes by rank; all nodes agree on that for the role of a reader. */
+/**
+ * Ranks nodes by link and by a hash of `role` and name: all nodes get the same order for a role.
+ */
 function ranking(nodes: readonly ZoneNode[], role = 'reader'): ZoneNode[] {
   const byName = new Map(nodes.map((node) => [node.node, node]));
   const ranked = rankNames(role, [...byName.keys()]).flatMap((name) => byName.get(name) ?? []);
   return ranked.sort((left, right) => linkClass(right) - linkClass(left));
 }
 
-/** Links within the same power of four count as alike; an unknown one comes last. */
+/** Links within the same power of four are in one class. An unknown link is in the last class. */
 function linkClass({ linkMbps }: ZoneNode): number {
   return linkMbps === undefined ? Number.NEGATIVE_INFINITY : Math.floor(Math.log2(linkMbps) / 2);
 }
--- a/src/relay/zoneRelay.ts
+++ b/src/relay/zoneRelay.ts
@@ -1,4 +1,4 @@
-/** One node's part in reading the store for its zone, put together. */
+/** Assembles the parts with which one node reads the store, for itself and for its zone. */
 import type { Clock } from '../model/clock.js';
 import { createEraGuard } from '../source/eraGuard.js';
 import type { ObjectStore, StoreQuery } from '../source/object-store.js';
@@ -11,66 +11,70 @@
 import type { ZoneAssignment } from './zoneReaders.js';
 
 /**
- * Parts of the time within which a version must be in force. A follower finds out that its reader
- * is cut off after the pace and the margin at the latest (0.5), that it is frozen after the pace and
- * the patience (0.5); the rest is for its own call to the store.
+ * Shares of the time within which a version must be in force. A follower detects a reader that is
+ * cut off from the store after the long poll and the freshness margin at the latest (0.5), and a
+ * reader that is frozen after the long poll and the response timeout (0.5). The remaining time is
+ * for the follower's own call to the store.
  */
-const PACE_SHARE = 0.3;
-const MARGIN_SHARE = 0.2;
-const PATIENCE_SHARE = 0.2;
+const LONG_POLL_SHARE = 0.3;
+const FRESHNESS_MARGIN_SHARE = 0.2;
+const RESPONSE_TIMEOUT_SHARE = 0.2;
 
-/** Pause of a reader after a change: its followers wait for it. */
-const READER_SETTLE_SHARE = 0.25;
+/** Share of that time for which a reader gathers changes: its followers wait meanwhile. */
+const READER_DEBOUNCE_SHARE = 0.25;
 
-/** Pause of a node that reads only for itself: longer, since each of its calls serves one node. */
-const ALONE_SETTLE_SHARE = 0.35;
+/**
+ * Share of that time for which a node that reads only for itself gathers changes. It is longer than
+ * that of a reader, since each of the node's calls serves one node only.
+ */
+const DIRECT_DEBOUNCE_SHARE = 0.35;
 
-/** What is needed of the node. */
+/** Dependencies of the relay on the rest of the node. */
 export interface ZoneRelayContext {
   readonly clock: Clock;
   /** The store itself. */
   readonly store: ObjectStore;
-  /** This node's own record: a small object of the store, which need not exist. */
+  /** This node's own record: a small object of the store that may not exist. */
   readonly ownRecord: { readonly kind: string; readonly name: string };
   /** Kind of the configuration. */
   readonly configurationKind: string;
   /** Milliseconds from a version's acknowledgement until it must be in force. */
   readonly applyMs: number;
   readonly zoneAssignment: () => ZoneAssignment;
-  /** Asks another node; undefined when it does not answer in time. */
+  /** Sends a query to another node. Resolves with undefined if the node does not answer in time. */
   readonly readPeer: (
     address: string,
-    question: StoreQuery,
+    query: StoreQuery,
     timeoutMs: number,
   ) => Promise<Buffer | undefined>;
   readonly onReaderChange: (reader: string | undefined, cause: string) => void;
-  /** The store has ceased to answer this node's proofs, or answers again; what was seen of that. */
+  /** Called when the store stops answering this node's probes or answers again, with the cause. */
   readonly onReachabilityChange: (isReached: boolean, detail: string) => void;
-  /** The store has come back from a copy: its era before, and now. */
+  /** Called when the store has been restored from a copy, with its new and its previous era. */
   readonly onEraChange: (era: number, before: number) => void;
-  /** A watch was silent although the store had changes, up to this revision. */
+  /** Called when a silent watch has missed changes of the store, up to this revision. */
   readonly onMissedChanges: (kind: string, revision: number) => void;
-  /** An answer to a follower has been made, of so many bytes. */
+  /** Called with the size of each answer to a follower. */
   readonly onAnswer?: (kind: string, bytes: number) => void;
 }
 
-/** The store as this node reads it, and its answers to those that read by way of this node. */
+/** The store as this node reads it, and this node's answers to its followers. */
 export interface ZoneRelay {
   readonly store: RelayedStore;
-  /** The newest era that the store has told; 0 where it tells none. */
+  /** The newest era that the store has reported; 0 if it reports none. */
   readonly era: number;
-  /** The store has told this era in an answer. */
+  /** Notes an era that the store has reported in an answer. */
   noteEra(era: number): void;
   /** Milliseconds for which changes of the configuration are gathered before the next call. */
   debounceMs(): number;
-  /** Answers a node that reads by way of this one. */
-  answer(question: StoreQuery): Promise<Buffer>;
+  /** Answers the query of a node that reads through this one. */
+  answer(query: StoreQuery): Promise<Buffer>;
   stop(): void;
 }
 
 export function createZoneRelay(context: ZoneRelayContext): ZoneRelay {
   const { clock, applyMs, ownRecord } = context;
-  const origin = createEraGuard({
+  const guardedStore = createEraGuard({
     clock,
     store: context.store,
     onEraIncrease: (era, before) => {
@@ -80,10 +84,10 @@
   });
   const reach = createStoreReachability({
     clock,
-    onChange: (isInDoubt, detail) => {
-      context.onReachabilityChange(!isInDoubt, detail);
-      if (isInDoubt) {
-        origin.closeIdle();
+    onChange: (isSuspected, detail) => {
+      context.onReachabilityChange(!isSuspected, detail);
+      if (isSuspected) {
+        guardedStore.closeIdle();
         watches.failAll();
       }
     },
@@ -91,11 +95,11 @@
   const cache = createStoreCache({
     clock,
     reach,
-    era: () => origin.era,
-    freshMs: applyMs * (PACE_SHARE + MARGIN_SHARE),
+    era: () => guardedStore.era,
+    freshMs: applyMs * (LONG_POLL_SHARE + FRESHNESS_MARGIN_SHARE),
   });
   const watches = createDirectWatches({
-    store: origin,
+    store: guardedStore,
     knownRevision: cache.revisionOf,
     onNoMissedChanges: (kind, from, revision) =>
       cache.noteChanges(kind, from, { events: [], revision }),
@@ -103,86 +107,87 @@
   });
   const store = createRelayedStore({
     clock,
-    store: origin,
+    store: guardedStore,
     cache,
     reach,
     watches,
     nodeKind: ownRecord.kind,
     configurationKind: context.configurationKind,
-    longPollMs: applyMs * PACE_SHARE,
-    responseTimeoutMs: applyMs * PATIENCE_SHARE,
+    longPollMs: applyMs * LONG_POLL_SHARE,
+    responseTimeoutMs: applyMs * RESPONSE_TIMEOUT_SHARE,
     zoneAssignment: context.zoneAssignment,
-    ask: async (address, question, timeoutMs) => {
+    ask: async (address, query, timeoutMs) => {
       const until = clock.now() + timeoutMs;
-      const bytes = await context.readPeer(address, question, timeoutMs);
-      const objectAt = (revision: number) => cache.objectAt(question.kind, revision);
+      const bytes = await context.readPeer(address, query, timeoutMs);
+      const objectAt = (revision: number) => cache.objectAt(query.kind, revision);
       const result = bytes && decodeStoreResult(bytes, objectAt);
-      if (result || !bytes || question.base === undefined) {
+      if (result || !bytes || query.base === undefined) {
         return result;
       }
-      // The difference does not lead from what is held here to what the reader has.
-      const whole = { ...question, base: undefined };
-      const again = await context.readPeer(address, whole, until - clock.now());
-      return again && decodeStoreResult(again);
+      // The reader's difference does not fit the version that this node holds: request the whole.
+      const queryWithoutBase = { ...query, base: undefined };
+      const retryBytes = await context.readPeer(address, queryWithoutBase, until - clock.now());
+      return retryBytes && decodeStoreResult(retryBytes);
     },
     onReaderChange: context.onReaderChange,
   });
-  const proof = startStoreProbe({
+  const probe = startStoreProbe({
     clock,
-    store: origin,
+    store: guardedStore,
     reach,
     kind: ownRecord.kind,
-    intervalMs: applyMs * PACE_SHARE,
+    intervalMs: applyMs * LONG_POLL_SHARE,
     isEnabled: () => {
-      // Watches from before the zone was known, or from while others asked here, would cost calls to the end of their wait.
+      // Direct watches from before this node had found a reader, or from while it read for others,
+      // would need probes until their wait ends.
       store.releaseDirectWatches();
       return store.hasFallbackWatch;
     },
     onRevision: watches.noteRevision,
   });
-  // Followers that wait for the same change get the same bytes: packing is the dear part.
-  const packed = createPackedAnswers();
+  // Followers that wait for the same change get the same bytes, since encoding is the costly part.
+  const cachedAnswer = createAnswerCache();
   return {
     store,
     get era() {
-      return origin.era;
+      return guardedStore.era;
     },
-    noteEra: origin.noteEra,
+    noteEra: guardedStore.noteEra,
     debounceMs: () => {
       if (store.isFollowing) {
         return 0;
       }
-      return applyMs * (store.isReader ? READER_SETTLE_SHARE : ALONE_SETTLE_SHARE);
+      return applyMs * (store.isReader ? READER_DEBOUNCE_SHARE : DIRECT_DEBOUNCE_SHARE);
     },
-    answer: async (question) => {
-      const result = await cache.read(question);
-      const { kind, revision, base } = question;
-      const hasNews = result.ok && result.value.events.length > 0;
-      const held = base === undefined ? undefined : cache.objectAt(kind, base);
-      const bytes = hasNews
-        ? packed(`${kind} ${revision} ${result.value.revision} ${held?.revision}`, () =>
-            encodeStoreResult(result, held),
+    answer: async (query) => {
+      const result = await cache.read(query);
+      const { kind, revision, base } = query;
+      const hasChanges = result.ok && result.value.events.length > 0;
+      const baseObject = base === undefined ? undefined : cache.objectAt(kind, base);
+      const bytes = hasChanges
+        ? cachedAnswer(`${kind} ${revision} ${result.value.revision} ${baseObject?.revision}`, () =>
+            encodeStoreResult(result, baseObject),
           )
         : encodeStoreResult(result);
       context.onAnswer?.(kind, bytes.length);
       return bytes;
     },
-    stop: () => proof.stop(),
+    stop: () => probe.stop(),
   };
 }
 
-/** Packed answers that are kept: the latest of both kinds, from two revisions. */
-const KEPT_ANSWERS = 4;
+/** Encoded answers that are cached: the latest of both kinds, each from two revisions. */
+const MAX_CACHED_ANSWERS = 4;
 
-function createPackedAnswers(): (key: string, pack: () => Buffer) => Buffer {
-  const kept = new Map<string, Buffer>();
-  return (key, pack) => {
-    const bytes = kept.get(key) ?? pack();
-    kept.delete(key);
-    kept.set(key, bytes);
-    const [oldest] = kept.keys();
-    if (kept.size > KEPT_ANSWERS && oldest !== undefined) {
-      kept.delete(oldest);
+function createAnswerCache(): (key: string, encode: () => Buffer) => Buffer {
+  const answers = new Map<string, Buffer>();
+  return (key, encode) => {
+    const bytes = answers.get(key) ?? encode();
+    answers.delete(key);
+    answers.set(key, bytes);
+    const [oldest] = answers.keys();
+    if (answers.size > MAX_CACHED_ANSWERS && oldest !== undefined) {
+      answers.delete(oldest);
     }
     return bytes;
   };
