--- a/src/relay/directWatches.test.ts
+++ b/src/relay/directWatches.test.ts
@@ -10,28 +10,32 @@
 
 const KIND = 'configuration';
 
-/** Waits of watches above this are long, in milliseconds. */
-const LONG_MS = 100;
+/** Watches that wait longer than this, in milliseconds, are never answered by the test store. */
+const MAX_ANSWERED_WAIT_MS = 100;
 
-const NOTHING: StoreChanges<never> = { events: [], revision: 9 };
+const NO_CHANGES: StoreChanges<never> = { events: [], revision: 9 };
 const CHANGE = { object: { name: 'current', revision: 6, spec: {} }, gone: false };
 
-/** Watches whose long waits are never answered, as on a silent connection; short ones are, with this. */
-function onSilentConnection(
+/**
+ * Direct watches at a store that never answers a watch with a long wait, as on a silent connection.
+ * It answers a watch with a short wait with `answer`, or with `failure` if `answer` is undefined.
+ */
+function watchesOnSilentConnection(
   answer: StoreChanges<unknown> | undefined,
   failure: StoreFailure = 'unknown',
 ) {
-  const told = new Map([[KIND, 3]]);
-  const silentKinds: string[] = [];
+  const knownRevisions = new Map([[KIND, 3]]);
+  const missedKinds: string[] = [];
   let shortCalls = 0;
   const longCalls: { signal: AbortSignal | undefined }[] = [];
-  let closedAt: number[] = [];
+  /** Number of short calls made before each call of `closeIdle`. */
+  let shortCallsAtClose: number[] = [];
   const store = {
     closeIdle: () => {
-      closedAt = [...closedAt, shortCalls];
+      shortCallsAtClose = [...shortCallsAtClose, shortCalls];
     },
     watch: (_kind: string, _revision: number, waitMs: number, signal?: AbortSignal) => {
-      if (waitMs > LONG_MS) {
+      if (waitMs > MAX_ANSWERED_WAIT_MS) {
         longCalls.push({ signal });
         return new Promise(() => {});
       }
@@ -44,48 +48,48 @@
   } as unknown as ObjectStore;
   const watches = createDirectWatches({
     store,
-    knownRevision: (kind) => told.get(kind),
-    onNoMissedChanges: (kind, _from, revision) => told.set(kind, revision),
-    onMissedChanges: (kind) => silentKinds.push(kind),
+    knownRevision: (kind) => knownRevisions.get(kind),
+    onNoMissedChanges: (kind, _from, revision) => knownRevisions.set(kind, revision),
+    onMissedChanges: (kind) => missedKinds.push(kind),
   });
   return {
     watches,
-    told,
-    silentKinds,
+    knownRevisions,
+    missedKinds,
     longCalls,
     shortCalls: () => shortCalls,
-    closedAt: () => closedAt,
+    shortCallsAtClose: () => shortCallsAtClose,
   };
 }
 
-function settle(): Promise<void> {
+function nextTurn(): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve));
 }
 
-describe('a watch that has gone silent', () => {
-  it('is answered by a second question once it has not told at two looks, and is ended', async () => {
-    const node = onSilentConnection({ events: [CHANGE], revision: 6 });
+describe('a watch whose connection has gone silent', () => {
+  it('is aborted and answered by a check after two revisions that it has not reported', async () => {
+    const node = watchesOnSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
     node.watches.noteRevision(6);
-    await settle();
+    await nextTurn();
     expect(node.shortCalls()).toBe(0);
     node.watches.noteRevision(6);
     expect(await watch).toMatchObject({ ok: true, value: { revision: 6, events: [CHANGE] } });
-    expect(node.silentKinds).toEqual([KIND]);
+    expect(node.missedKinds).toEqual([KIND]);
     expect(node.longCalls[0]?.signal?.aborted).toBe(true);
   });
 
-  it('is found out although the watch of another kind tells of newer revisions', async () => {
-    const node = onSilentConnection({ events: [CHANGE], revision: 6 });
+  it('is detected although the watch of another kind reports newer revisions', async () => {
+    const node = watchesOnSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
-    node.told.set('nodes', 8);
+    node.knownRevisions.set('nodes', 8);
     node.watches.noteRevision(8);
     node.watches.noteRevision(8);
     expect((await watch)?.ok).toBe(true);
   });
 
-  it('is found out again and again, whatever was found before', async () => {
-    const node = onSilentConnection({ events: [CHANGE], revision: 6 });
+  it('is detected each time, also after earlier detections', async () => {
+    const node = watchesOnSilentConnection({ events: [CHANGE], revision: 6 });
     for (let round = 0; round < 3; round += 1) {
       const watch = node.watches.watch(KIND, 3, 10_000);
       node.watches.noteRevision(6);
@@ -94,36 +98,36 @@
     }
   });
 
-  it('is asked about again at each look while the question fails', async () => {
-    const node = onSilentConnection(undefined);
+  it('is checked again at each revision of the store while the check fails', async () => {
+    const node = watchesOnSilentConnection(undefined);
     void node.watches.watch(KIND, 3, 10_000);
-    for (let look = 0; look < 4; look += 1) {
+    for (let count = 0; count < 4; count += 1) {
       node.watches.noteRevision(6);
-      await settle();
+      await nextTurn();
     }
     expect(node.shortCalls()).toBe(3);
   });
 
-  it('is asked about on a connection that did not rest beside it', async () => {
-    const node = onSilentConnection({ events: [CHANGE], revision: 6 });
+  it('is checked on a new connection, after the idle ones have been closed', async () => {
+    const node = watchesOnSilentConnection({ events: [CHANGE], revision: 6 });
     const watch = node.watches.watch(KIND, 3, 10_000);
     node.watches.noteRevision(6);
     node.watches.noteRevision(6);
     await watch;
-    // Closed before the first question.
-    expect(node.closedAt()[0]).toBe(0);
+    // The idle connections were closed before the first check.
+    expect(node.shortCallsAtClose()[0]).toBe(0);
   });
 
-  it('is told that the history is gone, so that a list follows', async () => {
-    const node = onSilentConnection(undefined, 'history-gone');
+  it('ends with history-gone if the check does, so that a list follows', async () => {
+    const node = watchesOnSilentConnection(undefined, 'history-gone');
     const watch = node.watches.watch(KIND, 3, 10_000);
     node.watches.noteRevision(6);
     node.watches.noteRevision(6);
     expect(await watch).toMatchObject({ ok: false, failure: 'history-gone' });
   }, 2_000);
 
-  it('is ended with all others, as failed, when the store is in doubt', async () => {
-    const node = onSilentConnection(undefined);
+  it('ends with an error, like all others, when failAll is called', async () => {
+    const node = watchesOnSilentConnection(undefined);
     const all = [node.watches.watch(KIND, 3, 10_000), node.watches.watch('nodes', 3, 10_000)];
     node.watches.failAll();
     for (const watch of all) {
@@ -133,33 +137,33 @@
   });
 });
 
-describe('a watch that has nothing to tell', () => {
-  it('is left to wait when the newer revision is of another kind, which costs one question', async () => {
-    const node = onSilentConnection(NOTHING);
+describe('a watch of a kind without changes', () => {
+  it('goes on after one check when the newer revision is of another kind', async () => {
+    const node = watchesOnSilentConnection(NO_CHANGES);
     void node.watches.watch(KIND, 3, 10_000);
-    for (let look = 0; look < 6; look += 1) {
+    for (let count = 0; count < 6; count += 1) {
       node.watches.noteRevision(9);
-      await settle();
+      await nextTurn();
     }
     expect(node.shortCalls()).toBe(1);
-    expect(node.silentKinds).toEqual([]);
+    expect(node.missedKinds).toEqual([]);
     expect(node.longCalls[0]?.signal?.aborted).toBe(false);
   });
 
-  it('costs none when it tells between two looks', async () => {
-    const node = onSilentConnection(NOTHING);
+  it('is not checked when it reports the revision before the store reports it again', async () => {
+    const node = watchesOnSilentConnection(NO_CHANGES);
     void node.watches.watch(KIND, 3, 10_000);
     node.watches.noteRevision(6);
-    node.told.set(KIND, 6);
+    node.knownRevisions.set(KIND, 6);
     node.watches.noteRevision(6);
-    await settle();
+    await nextTurn();
     expect(node.shortCalls()).toBe(0);
   });
 });
 
-describe('a watch that waits while the store comes back from a copy', () => {
-  it('ends as with its history gone; one that was sent since goes on', async () => {
-    const node = onSilentConnection(NOTHING);
+describe('a watch that waits while the store is restored from a copy', () => {
+  it('ends with history-gone if it is from the earlier era, and goes on if not', async () => {
+    const node = watchesOnSilentConnection(NO_CHANGES);
     const earlier = node.watches.watch(KIND, 3, 10_000);
     let isSettled = false;
     void node.watches.watch('nodes', revisionOf(1, 2), 10_000).then(() => {
@@ -167,7 +171,7 @@
     });
     node.watches.noteEra(1);
     expect(await earlier).toMatchObject({ ok: false, failure: 'history-gone' });
-    await settle();
+    await nextTurn();
     expect(isSettled).toBe(false);
     expect(node.longCalls.map(({ signal }) => signal?.aborted)).toEqual([true, false]);
   });
--- a/src/relay/relayedStore.test.ts
+++ b/src/relay/relayedStore.test.ts
@@ -10,20 +10,20 @@
 const READER = { node: 'reader', zone: 'a', address: '10.0.0.1:1' };
 const CONFIGURATION = 'configuration';
 const NODES = 'nodes';
-const PACE_MS = 100;
+const LONG_POLL_MS = 100;
 
-type Parts = Pick<RelayedStoreContext, 'zoneAssignment' | 'ask'> & {
+type NodeOptions = Pick<RelayedStoreContext, 'zoneAssignment' | 'ask'> & {
   readonly responseTimeoutMs?: number;
 };
 
-/** A node's store in parts, over a store with one configuration. */
-function nodeWith({ zoneAssignment, ask, responseTimeoutMs = PACE_MS }: Parts) {
+/** The relayed store of a node, with its parts, over a store with one configuration. */
+function nodeWith({ zoneAssignment, ask, responseTimeoutMs = LONG_POLL_MS }: NodeOptions) {
   const store = new MemoryStore();
   store.put(CONFIGURATION, 'current', { version: 1 });
   const view = new StoreView(store);
   const clock = { now: () => performance.now() };
   const reach = createStoreReachability({ clock, onChange: () => {} });
-  const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: PACE_MS });
+  const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: LONG_POLL_MS });
   const watches = createDirectWatches({
     store: view,
     knownRevision: cache.revisionOf,
@@ -38,7 +38,7 @@
     watches,
     nodeKind: NODES,
     configurationKind: CONFIGURATION,
-    longPollMs: PACE_MS,
+    longPollMs: LONG_POLL_MS,
     responseTimeoutMs,
     zoneAssignment,
     ask,
@@ -47,9 +47,9 @@
   return { relayed, view, reach, watches };
 }
 
-/** A follower's store whose reader never answers, and what the reader is asked. */
-function followerOfSilentReader(responseTimeoutMs = PACE_MS) {
-  const asked: { question: StoreQuery; timeoutMs: number }[] = [];
+/** The relayed store of a follower whose reader never answers, and the queries to the reader. */
+function followerOfSilentReader(responseTimeoutMs = LONG_POLL_MS) {
+  const queries: { query: StoreQuery; timeoutMs: number }[] = [];
   const { relayed } = nodeWith({
     responseTimeoutMs,
     zoneAssignment: () => ({
@@ -57,16 +57,16 @@
       readers: [READER],
       otherZoneReaders: () => [],
     }),
-    ask: async (_address, question, timeoutMs) => {
-      asked.push({ question, timeoutMs });
+    ask: async (_address, query, timeoutMs) => {
+      queries.push({ query, timeoutMs });
       await new Promise((resolve) => setTimeout(resolve, timeoutMs));
       return undefined;
     },
   });
-  return { relayed, asked };
+  return { relayed, queries };
 }
 
-it('a node that starts waits for its reader a moment only, and asks the store', async () => {
+it('a node that starts asks the store if its reader does not answer within a short time', async () => {
   const { relayed } = followerOfSilentReader(2_000);
   const startedAt = performance.now();
   const listed = await relayed.list(CONFIGURATION, ReadConsistency.BoundedStaleness);
@@ -74,62 +74,65 @@
   expect(performance.now() - startedAt).toBeLessThan(250);
 });
 
-it('a list of now is asked of the store alone', async () => {
-  const { relayed, asked } = followerOfSilentReader();
+it('a list with strong consistency is requested from the store alone', async () => {
+  const { relayed, queries } = followerOfSilentReader();
   expect(await relayed.list(CONFIGURATION, ReadConsistency.Strong)).toMatchObject({ ok: true });
-  expect(asked).toEqual([]);
+  expect(queries).toEqual([]);
 });
 
-it('a watch of the configuration finds a silent reader out in time, the directory takes longer, others longest', async () => {
+it('a silent reader is detected first for the configuration, then the directory, then others', async () => {
   for (const [kind, longestMs] of [
-    [CONFIGURATION, 2 * PACE_MS],
-    [NODES, 5 * PACE_MS],
-    ['quarantines', 10_000 + PACE_MS],
+    [CONFIGURATION, 2 * LONG_POLL_MS],
+    [NODES, 5 * LONG_POLL_MS],
+    ['quarantines', 10_000 + LONG_POLL_MS],
   ] as const) {
-    const { relayed, asked } = followerOfSilentReader();
+    const { relayed, queries } = followerOfSilentReader();
     await relayed.watch(kind, 1, 10_000);
-    expect(asked.map(({ timeoutMs }) => timeoutMs)).toEqual([longestMs]);
+    expect(queries.map(({ timeoutMs }) => timeoutMs)).toEqual([longestMs]);
   }
 });
 
-/** A node of its zone alone; the reader of another zone answers with this revision, or not at all. */
-function aloneBeside(revisionElsewhere: number | undefined) {
+/**
+ * A node that is alone in its zone. The reader of another zone answers with the given revision, or
+ * not at all if that is undefined.
+ */
+function nodeAloneInZone(otherZoneRevision: number | undefined) {
   return nodeWith({
     zoneAssignment: () => ({ role: ZoneRole.Alone, readers: [], otherZoneReaders: () => [READER] }),
     ask: async () => {
-      const isThere = revisionElsewhere !== undefined;
-      return isThere ? { ok: true, value: { events: [], revision: revisionElsewhere } } : undefined;
+      const answers = otherZoneRevision !== undefined;
+      return answers ? { ok: true, value: { events: [], revision: otherZoneRevision } } : undefined;
     },
   });
 }
 
-it('a watch that was sent before the zone was known ends as soon as a reader can be asked, and misses nothing', async () => {
+it('a direct watch is released as soon as a reader can be asked, and misses no change', async () => {
   let role = ZoneRole.Reader;
-  const asked: string[] = [];
+  const queries: string[] = [];
   const { relayed, view } = nodeWith({
     zoneAssignment: () => ({ role, readers: [READER], otherZoneReaders: () => [] }),
     ask: async (_address, { kind, revision = 0 }) => {
-      asked.push(`${kind} ${revision}`);
+      queries.push(`${kind} ${revision}`);
       return { ok: true, value: { events: [], revision } };
     },
   });
-  const early = relayed.watch('quarantines', 1, 10_000);
+  const directWatch = relayed.watch('quarantines', 1, 10_000);
   await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
   relayed.releaseDirectWatches();
   expect(relayed.hasFallbackWatch).toBe(true);
   role = ZoneRole.Follower;
   relayed.releaseDirectWatches();
-  expect(await early).toEqual({ ok: true, value: { events: [], revision: 1 } });
-  // Not taken for an answer of the store, nor for a node that reads by itself again.
+  expect(await directWatch).toEqual({ ok: true, value: { events: [], revision: 1 } });
+  // The release is not an answer of the store and does not make the node read directly again.
   expect(relayed.answeredAt).toBe(Number.NEGATIVE_INFINITY);
   expect(relayed.hasFallbackWatch).toBe(false);
   await relayed.watch('quarantines', 1, 10_000);
-  expect(asked).toEqual(['quarantines 1']);
-  // The store counts a watch when it answers it.
+  expect(queries).toEqual(['quarantines 1']);
+  // The test store counts a watch only when it answers it.
   expect(view.calls).toBe(0);
 }, 2_000);
 
-it('a watch of its own is left alone while the reader that could be asked has failed', async () => {
+it('a direct watch is not released while the only reader is in backoff', async () => {
   const { relayed } = followerOfSilentReader(1);
   await relayed.watch(CONFIGURATION, 1, 10_000);
   void relayed.watch(NODES, 1, 10_000);
@@ -138,9 +141,9 @@
   expect(relayed.hasFallbackWatch).toBe(true);
 });
 
-it('a follower whose reader cannot speak for the store asks the store at once, and the spare reader only next time', async () => {
+it('a follower whose reader is unavailable asks the store first, then the spare reader', async () => {
   const spare = { node: 'spare', zone: 'a', address: '10.0.0.2:1' };
-  const asked: string[] = [];
+  const queries: string[] = [];
   const { relayed, view } = nodeWith({
     zoneAssignment: () => ({
       role: ZoneRole.Follower,
@@ -148,27 +151,27 @@
       otherZoneReaders: () => [],
     }),
     ask: async (address) => {
-      asked.push(address);
+      queries.push(address);
       return address === READER.address
         ? { ok: false, failure: 'unavailable', detail: 'zone reader' }
         : { ok: true, value: { events: [], revision: 1 } };
     },
   });
-  // A spare reader that was not asked before has no change to tell: it would send the whole.
+  // The spare reader does not have the version that the node holds and would send the whole object.
   void relayed.watch('quarantines', 1, 10_000);
   await vi.waitFor(() => expect(view.calls).toBe(1));
-  expect(asked).toEqual([READER.address]);
+  expect(queries).toEqual([READER.address]);
   expect(await relayed.watch('quarantines', 1, 10_000)).toMatchObject({ ok: true });
-  expect(asked).toEqual([READER.address, spare.address]);
+  expect(queries).toEqual([READER.address, spare.address]);
 });
 
 /**
- * A follower whose first reader does not read yet when it is asked first, and whose spare reader reads
- * for others only for as long as the first one rests, and a little longer.
+ * A follower whose first reader answers `unavailable` to the first query only, and whose spare
+ * reader answers `unavailable` once the backoff of the first reader is over.
  */
 function followerOfSpareReader() {
   const spare = { node: 'spare', zone: 'a', address: '10.0.0.2:1' };
-  const asked: string[] = [];
+  const queries: string[] = [];
   const { relayed, view } = nodeWith({
     zoneAssignment: () => ({
       role: ZoneRole.Follower,
@@ -176,39 +179,42 @@
       otherZoneReaders: () => [],
     }),
     ask: async (address, { kind, revision = 0 }) => {
-      asked.push(`${address} ${kind}`);
+      queries.push(`${address} ${kind}`);
       if (address === spare.address) {
-        await new Promise((resolve) => setTimeout(resolve, 1.5 * PACE_MS));
+        await new Promise((resolve) => setTimeout(resolve, 1.5 * LONG_POLL_MS));
       }
-      return address === spare.address || asked.length === 1
+      return address === spare.address || queries.length === 1
         ? { ok: false, failure: 'unavailable', detail: 'zone reader' }
         : { ok: true, value: { events: [], revision } };
     },
   });
-  return { relayed, view, asked, spare };
+  return { relayed, view, queries, spare };
 }
 
-it('a follower whose spare reader has ceased to read asks its first reader, not the store', async () => {
-  const { relayed, view, asked, spare } = followerOfSpareReader();
+it('a follower whose spare reader becomes unavailable asks its first reader, not the store', async () => {
+  const { relayed, view, queries, spare } = followerOfSpareReader();
   await relayed.watch(NODES, 1, 10_000);
   const before = view.calls;
   expect(await relayed.watch('quarantines', 1, 10_000)).toMatchObject({ ok: true });
   expect(view.calls).toBe(before);
-  expect(asked.slice(1)).toEqual([`${spare.address} quarantines`, `${READER.address} quarantines`]);
+  expect(queries.slice(1)).toEqual([
+    `${spare.address} quarantines`,
+    `${READER.address} quarantines`,
+  ]);
   expect(relayed.isFollowing).toBe(true);
 });
 
-it('a configuration that no reader told of in time is asked of the store at once', async () => {
-  const { relayed, view, asked, spare } = followerOfSpareReader();
+it('a watch of the configuration goes to the store when its reader becomes unavailable', async () => {
+  const { relayed, view, queries, spare } = followerOfSpareReader();
   await relayed.watch(NODES, 1, 10_000);
   const before = view.calls;
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ ok: true });
   expect(view.calls).toBe(before + 1);
-  expect(asked.slice(1)).toEqual([`${spare.address} ${CONFIGURATION}`]);
+  expect(queries.slice(1)).toEqual([`${spare.address} ${CONFIGURATION}`]);
 });
 
-it('a follower’s own watch ends once its reader may be asked again', async () => {
-  let isFresh = false;
+it('a direct watch of a follower is released once the backoff of its reader is over', async () => {
+  let isReading = false;
   const { relayed } = nodeWith({
     zoneAssignment: () => ({
       role: ZoneRole.Follower,
@@ -216,21 +222,21 @@
       otherZoneReaders: () => [],
     }),
     ask: async () =>
-      isFresh
+      isReading
         ? { ok: true, value: { events: [], revision: 1 } }
         : { ok: false, failure: 'unavailable', detail: 'zone reader' },
   });
   await relayed.watch(CONFIGURATION, 1, 10_000);
-  const own = relayed.watch('quarantines', 1, 10_000);
+  const directWatch = relayed.watch('quarantines', 1, 10_000);
   await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
-  isFresh = true;
-  const looks = setInterval(() => relayed.releaseDirectWatches(), PACE_MS / 4);
-  expect(await own).toEqual({ ok: true, value: { events: [], revision: 1 } });
-  clearInterval(looks);
+  isReading = true;
+  const timer = setInterval(() => relayed.releaseDirectWatches(), LONG_POLL_MS / 4);
+  expect(await directWatch).toEqual({ ok: true, value: { events: [], revision: 1 } });
+  clearInterval(timer);
 }, 2_000);
 
-it('a watch is not sent to a store in doubt: another zone is asked, until a proof is answered', async () => {
-  const { relayed, view, reach } = aloneBeside(7);
+it('a watch goes to another zone while the store is suspected, and to the store after that', async () => {
+  const { relayed, view, reach } = nodeAloneInZone(7);
   reach.noteTimeout('a probe was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ value: { revision: 7 } });
   expect(view.calls).toBe(0);
@@ -240,21 +246,21 @@
   expect(view.calls).toBe(1);
 });
 
-it('a node whose watches another zone speaks for goes on proving its own reach', async () => {
-  const { relayed, reach } = aloneBeside(7);
+it('a node that another zone has answered has a fallback watch once the store answers', async () => {
+  const { relayed, reach } = nodeAloneInZone(7);
   reach.noteTimeout('a probe was not answered');
   const watch = relayed.watch(CONFIGURATION, 1, 10_000);
   await new Promise((resolve) => setImmediate(resolve));
   expect((await watch).ok).toBe(true);
   expect(relayed.isFollowing).toBe(true);
   reach.noteAnswered();
-  void relayed.watch(CONFIGURATION, 1, PACE_MS);
-  // Its own watch waits at the store now, whoever spoke for it last.
+  void relayed.watch(CONFIGURATION, 1, LONG_POLL_MS);
+  // A fallback watch keeps the probes enabled, although another zone answered last.
   await vi.waitFor(() => expect(relayed.hasFallbackWatch).toBe(true));
 });
 
-it('a watch in doubt that nobody speaks for is sent as soon as the store answers, or fails', async () => {
-  const { relayed, view, reach } = aloneBeside(undefined);
+it('a watch that no other zone answers waits for the suspected store to answer, or fails', async () => {
+  const { relayed, view, reach } = nodeAloneInZone(undefined);
   reach.noteTimeout('a probe was not answered');
   expect(await relayed.watch(CONFIGURATION, 1, 10_000)).toMatchObject({ ok: false });
   expect(view.calls).toBe(0);
--- a/src/relay/storeCache.test.ts
+++ b/src/relay/storeCache.test.ts
@@ -27,8 +27,8 @@
     : result.failure;
 }
 
-describe('what a node knows of the store', () => {
-  it('is listed, and told from any revision since its own list', async () => {
+describe('the store cache', () => {
+  it('answers lists, and changes from any revision since its own list', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.noteChanges(KIND, 5, { events: [{ object: object('c', 6), gone: false }], revision: 6 });
     cache.noteChanges(KIND, 6, { events: [{ object: object('a', 3), gone: true }], revision: 8 });
@@ -39,20 +39,20 @@
     expect(await namesAfter(cache, 4)).toBe('history-gone');
   });
 
-  it('tells what a later list shows to have changed, although the history is gone', async () => {
+  it('derives changes from a later list, as after the history is gone', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.noteList(KIND, { items: [object('b', 4), object('c', 9)], revision: 12 });
     expect(await namesAfter(cache, 5)).toEqual(['-a', 'c']);
     expect(await namesAfter(cache, undefined)).toEqual(['b', 'c']);
   });
 
-  it('does not take changes that begin after what it knows', async () => {
+  it('ignores changes that begin after its own revision', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.noteChanges(KIND, 7, { events: [{ object: object('d', 8), gone: false }], revision: 8 });
     expect(await namesAfter(cache, 5)).toEqual([]);
   });
 
-  it('is not told once the store has not answered for a while', async () => {
+  it('answers unavailable once the store has not answered for freshMs', async () => {
     const now = { ms: 0 };
     const cache = cacheAt(now);
     now.ms = 99;
@@ -63,7 +63,7 @@
     expect(await namesAfter(cache, 5)).toEqual([]);
   });
 
-  it('keeps earlier versions for a while, and shares what they have in common', () => {
+  it('keeps a limited number of earlier versions, which share their equal parts', () => {
     const cache = cacheAt({ ms: 0 });
     cache.noteList('main', {
       items: [{ name: 'main', revision: 5, spec: [[1], [2]] }],
@@ -72,9 +72,9 @@
     for (let revision = 6; revision < 50; revision += 1) {
       const changed = { name: 'main', revision, spec: [[1], [revision]] };
       const events = [{ object: changed, gone: false }];
-      const told = cache.noteChanges('main', revision - 1, { events, revision });
+      const noted = cache.noteChanges('main', revision - 1, { events, revision });
       const before = cache.objectAt('main', revision - 1)?.spec as unknown[];
-      expect(told.events[0]?.object.spec[0]).toBe(before[0]);
+      expect(noted.events[0]?.object.spec[0]).toBe(before[0]);
     }
     expect(cache.objectAt('main', 18)?.spec).toEqual([[1], [18]]);
     expect(cache.objectAt('main', 10)).toBeUndefined();
@@ -82,7 +82,7 @@
     expect(cache.singleObjectRevision(KIND)).toBeUndefined();
   });
 
-  it('wakes who waits for a change, and who waits while it grows old', async () => {
+  it('answers a waiting read at a change, and with unavailable once it is not fresh', async () => {
     const clock = { now: () => performance.now() };
     const reach = createStoreReachability({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 150 });
@@ -96,8 +96,8 @@
   });
 });
 
-describe('an answer between nodes', () => {
-  it('is the same after its way, small or large', () => {
+describe('encodeStoreResult and decodeStoreResult', () => {
+  it('reproduce a small and a large answer', () => {
     for (const routes of [1, 2_000]) {
       const spec = {
         routes: Array.from({ length: routes }, (_, index) => ({ name: `r-${index}` })),
@@ -108,41 +108,41 @@
     }
   });
 
-  it('tells the difference from a version that its receiver holds, and only to who holds it', () => {
+  it('encode the difference from a base that only a receiver with that base can decode', () => {
     const routes = Array.from({ length: 500 }, (_, index) => [`route-${index}`, 'desk']);
-    const held = { name: 'main', revision: 7, spec: { version: 1, routes } };
+    const base = { name: 'main', revision: 7, spec: { version: 1, routes } };
     const spec = { version: 2, routes: [...routes, ['added', 'desk']] };
     const events = [{ object: { name: 'main', revision: 9, spec }, gone: false }];
     const result = { ok: true, value: { events, revision: 9 } } as const;
-    const bytes = encodeStoreResult(result, held);
+    const bytes = encodeStoreResult(result, base);
     expect(bytes.length).toBeLessThan(150);
-    const objectAt = (revision: number) => (revision === 7 ? held : undefined);
+    const objectAt = (revision: number) => (revision === 7 ? base : undefined);
     expect(decodeStoreResult(bytes, objectAt)).toEqual(result);
     expect(decodeStoreResult(bytes)).toBeUndefined();
-    const other = { ...held, spec: { ...held.spec, routes: routes.slice(1) } };
+    const other = { ...base, spec: { ...base.spec, routes: routes.slice(1) } };
     expect(decodeStoreResult(bytes, () => other)).toBeUndefined();
   });
 
-  it('that cannot be read is none', () => {
+  it('return undefined for an answer that cannot be read', () => {
     for (const bytes of [[], [0], [1, 2, 3], [0, 0x81, 0xf6], [0, 0x82, 0x01, 0x81, 0x01]]) {
       expect(decodeStoreResult(Buffer.from(bytes))).toBeUndefined();
     }
   });
 });
 
-describe('what a node knows of a store that may have come back from a copy', () => {
-  const LATER = revisionOf(1, 2);
+describe('the cache of a store that may have been restored from a copy', () => {
+  const NEXT_ERA = revisionOf(1, 2);
 
-  it('is told to nobody from when the history is gone until it is listed anew', async () => {
+  it('answers unavailable once the history is gone, until the next list', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.markStale(KIND);
     expect(await namesAfter(cache, undefined)).toBe('unavailable');
     expect(await namesAfter(cache, 5)).toBe('unavailable');
-    cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: LATER });
+    cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: NEXT_ERA });
     expect(await namesAfter(cache, undefined)).toEqual(['b']);
   });
 
-  it('gives way to a list of now, if it comes from one that may have lagged and nothing has borne it out', async () => {
+  it('is replaced by an older strong list if it comes from an unconfirmed list that may lag', async () => {
     const clock = { now: () => 0 };
     const reach = createStoreReachability({ clock, onChange: () => {} });
     const cache = createStoreCache({ clock, reach, era: () => 0, freshMs: 100 });
@@ -161,32 +161,32 @@
     });
   });
 
-  it('stays in doubt after a list that is older than it', async () => {
+  it('stays stale after a list that is older than the cache', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.markStale(KIND);
     cache.noteList(KIND, { items: [], revision: 2 });
     expect(await namesAfter(cache, undefined)).toBe('unavailable');
   });
 
-  it('comes to those who waited meanwhile as what has changed and what is gone', async () => {
+  it('answers reads that waited while it was stale with the changes and removals', async () => {
     const cache = cacheAt({ ms: 0 });
     cache.markStale(KIND);
     const waiting = cache.read({ kind: KIND, revision: 5, waitMs: 1_000 });
-    cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: LATER });
+    cache.noteList(KIND, { items: [object('b', revisionOf(1, 1))], revision: NEXT_ERA });
     const result = await waiting;
-    const told = result.ok ? result.value.events : [];
-    expect(told.map(({ object: { name }, gone }) => [name, gone])).toEqual([
+    const events = result.ok ? result.value.events : [];
+    expect(events.map(({ object: { name }, gone }) => [name, gone])).toEqual([
       ['a', true],
       ['b', false],
     ]);
-    // By the revisions of the one that is gone its hearer tells that it need not have been removed.
-    const [first] = told;
+    // The revisions show the receiver that the missing object may have been lost, not removed.
+    const [first] = events;
     expect(result.ok && first && mayBeLost(first.object.revision, result.value.revision)).toBe(
       true,
     );
   });
 
-  it('is told to nobody from when this node hears of a later era until it is listed in that', async () => {
+  it('answers unavailable once the era has risen, until a list of that era', async () => {
     let era = 0;
     const clock = { now: () => 0 };
     const reach = createStoreReachability({ clock, onChange: () => {} });
@@ -199,15 +199,15 @@
     };
     expect(await names()).toEqual(['a']);
     era = 1;
-    // Another zone's reader, which has not heard of it yet.
+    // Changes from another zone's reader that has not seen the new era yet.
     cache.noteChanges(KIND, 5, { events: [], revision: 6 });
     expect(await names()).toBe('unavailable');
-    cache.noteList(KIND, { items: [object('a', revisionOf(1, 2))], revision: LATER });
+    cache.noteList(KIND, { items: [object('a', revisionOf(1, 2))], revision: NEXT_ERA });
     expect(await names()).toEqual(['a']);
   });
 
-  it('is not told to one who has heard of a later era', async () => {
+  it('answers unavailable to a node that asks from a later era', async () => {
     const cache = cacheAt({ ms: 0 });
-    expect(await namesAfter(cache, LATER)).toBe('unavailable');
+    expect(await namesAfter(cache, NEXT_ERA)).toBe('unavailable');
   });
 });
--- a/src/relay/zoneReaders.test.ts
+++ b/src/relay/zoneReaders.test.ts
@@ -15,8 +15,8 @@
     .map(({ node }) => node);
 }
 
-describe('readers of a zone', () => {
-  it('are none where a node is alone', () => {
+describe('assignZoneRole', () => {
+  it('assigns no reader in a zone of one node', () => {
     const nodes = zoneOf(1);
     expect(assignZoneRole(nodes[0] as ZoneNode, nodes)).toMatchObject({
       role: ZoneRole.Alone,
@@ -24,7 +24,7 @@
     });
   });
 
-  it('grow with the zone, far slower than its nodes, and are whom the others ask first', () => {
+  it('assigns one reader for every 16 nodes, and each follower asks a reader first', () => {
     for (const [size, count] of [
       [2, 1],
       [3, 1],
@@ -43,26 +43,26 @@
     }
   });
 
-  it('have one to turn to when one is gone, and the rest of the zone keeps its own', () => {
+  it('keeps the other reader and gives followers a spare one when a reader is lost', () => {
     const nodes = zoneOf(28);
     const [lost, kept] = readersOf(nodes) as [string, string];
-    const left = nodes.filter(({ node }) => node !== lost);
-    expect(readersOf(left)).toContain(kept);
-    for (const each of left) {
-      const { role, readers } = assignZoneRole(each, left);
-      const isReader = readersOf(left).includes(each.node);
+    const remaining = nodes.filter(({ node }) => node !== lost);
+    expect(readersOf(remaining)).toContain(kept);
+    for (const each of remaining) {
+      const { role, readers } = assignZoneRole(each, remaining);
+      const isReader = readersOf(remaining).includes(each.node);
       expect(role).toBe(isReader ? ZoneRole.Reader : ZoneRole.Follower);
-      // Both readers and a spare one, which does not ask itself.
+      // The list holds both readers and a spare one, but never the follower itself.
       expect(readers.length).toBeGreaterThanOrEqual(isReader ? 0 : 2);
       expect(readers.map(({ node }) => node)).not.toContain(each.node);
     }
   });
 
-  it('are the nodes whose links carry most, and the next ones when they are gone', () => {
-    const wide = ['node-3', 'node-17'];
+  it('selects the nodes with the fastest links, and the next ones when these are gone', () => {
+    const fastNodes = ['node-3', 'node-17'];
     const nodes = zoneOf(21).map((each) => ({
       ...each,
-      linkMbps: wide.includes(each.node) ? 70 : 3.5,
+      linkMbps: fastNodes.includes(each.node) ? 70 : 3.5,
     }));
     expect(readersOf(nodes).sort()).toEqual(['node-17', 'node-3']);
     const follower = assignZoneRole(nodes[0] as ZoneNode, nodes);
@@ -71,22 +71,25 @@
         .slice(0, 2)
         .map(({ node }) => node)
         .sort(),
-    ).toEqual(wide.sort());
-    const left = nodes.filter(({ node }) => !wide.includes(node));
-    expect(readersOf(left)).toHaveLength(2);
+    ).toEqual(fastNodes.sort());
+    const remaining = nodes.filter(({ node }) => !fastNodes.includes(node));
+    expect(readersOf(remaining)).toHaveLength(2);
   });
 
-  it('are chosen by hash alone among links that are about alike, and of unknown links', () => {
-    const alike = zoneOf(21).map((each, index) => ({ ...each, linkMbps: index % 2 ? 900 : 1_000 }));
-    expect(readersOf(alike)).toEqual(readersOf(zoneOf(21)));
+  it('selects by hash alone among links of similar or of unknown speed', () => {
+    const similar = zoneOf(21).map((each, index) => ({
+      ...each,
+      linkMbps: index % 2 ? 900 : 1_000,
+    }));
+    expect(readersOf(similar)).toEqual(readersOf(zoneOf(21)));
   });
 
-  it('of other zones are one each, for a node that the store turns away', () => {
+  it('returns one reader of each other zone', () => {
     const nodes = ['a', 'b', 'c'].flatMap((zone) =>
       zoneOf(6).map((node) => ({ ...node, zone, node: `${zone}-${node.node}` })),
     );
-    const elsewhere = assignZoneRole(nodes[0] as ZoneNode, nodes).otherZoneReaders();
-    expect(elsewhere.map(({ zone }) => zone).sort()).toEqual(['b', 'c']);
-    expect(readersOf(nodes)).toEqual(expect.arrayContaining(elsewhere.map(({ node }) => node)));
+    const otherReaders = assignZoneRole(nodes[0] as ZoneNode, nodes).otherZoneReaders();
+    expect(otherReaders.map(({ zone }) => zone).sort()).toEqual(['b', 'c']);
+    expect(readersOf(nodes)).toEqual(expect.arrayContaining(otherReaders.map(({ node }) => node)));
   });
 });
--- a/src/relay/zoneReaders.ts
+++ b/src/relay/zoneReaders.ts
@@ -39,8 +39,8 @@
   /** Readers to ask, in order of preference. Empty unless the role is follower. */
   readonly readers: readonly ZoneNode[];
   /**
-   * The first reader of each other zone, for a node that the store does not answer. A function,
-   * since it is rarely needed.
+   * Returns the first reader of each other zone, for a node that the store does not answer. Computed
+   * on demand, since it is rarely needed.
    */
   readonly otherZoneReaders: () => readonly ZoneNode[];
 }
--- a/src/relay/zoneRelay.ts
+++ b/src/relay/zoneRelay.ts
@@ -20,12 +20,15 @@
 const FRESHNESS_MARGIN_SHARE = 0.2;
 const RESPONSE_TIMEOUT_SHARE = 0.2;
 
-/** Share of that time for which a reader gathers changes: its followers wait meanwhile. */
+/**
+ * Share of the time within which a version must be in force, for which a reader gathers changes
+ * before its next call. Its followers wait meanwhile.
+ */
 const READER_DEBOUNCE_SHARE = 0.25;
 
 /**
- * Share of that time for which a node that reads only for itself gathers changes. It is longer than
- * that of a reader, since each of the node's calls serves one node only.
+ * Share of the time within which a version must be in force, for which a node that reads only for
+ * itself gathers changes. It is longer than a reader's, since each call serves one node only.
  */
 const DIRECT_DEBOUNCE_SHARE = 0.35;
 
