--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -1,12 +1,12 @@
 /**
- * Seen: two dozen back ends of a service ended one after the other, and from time to time none of them
- * was up. A request under which three had ended was sent to twelve more, minutes long.
- * How it came about: some client sent the same request again and again, each time with another id, to
- * any node; whichever back end began to run it crashed, and everything that ran beside it was lost.
- * Cause: nothing was remembered of a request from one attempt to the next, nor told to another node; a
- * lost attempt that may be repeated even went on to the next back end at once.
- * Proof: nodes with back ends that crash so, as below, sent it on for as long as it came; without it
- * all else was served.
+ * Guards against one request that crashes every back end that starts to run it. A client sends it
+ * again and again, each time with another id, to any node; each crash also loses everything else
+ * that the back end was running. Two dozen back ends of a service ended in this way one after the
+ * other, at times all of them at once, and over minutes the request reached twelve more back ends
+ * after its third crash.
+ * It happens if nodes keep no record of a request from one attempt to the next and do not report it
+ * to each other, and if they retry a lost attempt at once on the next back end. Nodes without these
+ * rules send the request on for as long as it arrives; without the request, all others are served.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -21,16 +21,16 @@
 const MACHINES = 9;
 const ZONES = 3;
 
-/** Nodes in touch know of the third crash after this time, in milliseconds. */
+/** Time within which all connected nodes have received the third crash, in milliseconds. */
 const CONTACT_MS = 3_000;
 
-/** Runs beyond that, of all nodes together. */
+/** Most runs of a crashing request after that time, over all nodes. */
 const ALLOWED_RUNS = 3;
 
-/** Share of the other requests that is served once the crashing one is known. */
+/** Share of the other requests that must be served once the crashing one is quarantined. */
 const SERVED_SHARE = 0.97;
 
-/** Last part of a run, in which all is as it will stay. */
+/** Share of the traffic, at its end, that is judged: the nodes have settled by then. */
 const SETTLED_SHARE = 0.4;
 
 const MARK = 'crash';
@@ -55,13 +55,13 @@
 
 afterEach(() => mesh.close());
 
-/** Two streams beside it: one request that all clients send alike, and others that all differ. */
-const INNOCENT: readonly RepeatedRequest[] = [
+/** Two streams of harmless requests: one repeats the same request, in one all requests differ. */
+const HARMLESS: readonly RepeatedRequest[] = [
   { path: () => '/read/popular', everyMs: 20, crashes: false },
   { path: (index) => `/read/other-${index}`, everyMs: 20, crashes: false },
 ];
 
-/** Runs of each crashing request that came too late. */
+/** Number of runs of each crashing request later than {@link CONTACT_MS} after its third crash. */
 function lateRuns(marks: readonly string[]): number[] {
   return marks.map((mark) => {
     const runs = mesh.runs().filter(({ target, body }) => `${target} ${body}`.includes(mark));
@@ -69,7 +69,7 @@
   });
 }
 
-/** Share of the innocent requests of the last part that was served. */
+/** Share of the requests in the last part of the streams that was served. */
 function servedShare(streams: readonly SentRequest[][], seconds: number): number {
   const sent = streams.flat();
   const first = Math.min(...sent.map(({ at }) => at));
@@ -77,27 +77,28 @@
   return late.filter(({ result }) => result.status === 200).length / late.length;
 }
 
-async function play(
+/** Sends the crashing and the harmless requests; returns the served share of the harmless ones. */
+async function runTraffic(
   crashing: readonly RepeatedRequest[],
   seconds: number,
   meanwhile: () => Promise<void> = async () => {},
 ): Promise<number> {
   const [streams] = await Promise.all([
-    sendAlways(mesh, [...INNOCENT, ...crashing], seconds, 1),
+    sendAlways(mesh, [...HARMLESS, ...crashing], seconds, 1),
     meanwhile(),
   ]);
-  return servedShare(streams.slice(0, INNOCENT.length), seconds);
+  return servedShare(streams.slice(0, HARMLESS.length), seconds);
 }
 
 describe('a request that crashes every back end that begins to run it', () => {
-  it('is sent to no more than three after the third, and leaves the others served', async () => {
+  it('runs at most three more times after the third crash, and other requests are served', async () => {
     const crashing = { path: () => `/read/${MARK}`, everyMs: 125, crashes: true };
-    const served = await play([crashing], 15);
+    const served = await runTraffic([crashing], 15);
     expect(lateRuns([MARK])[0]).toBeLessThanOrEqual(ALLOWED_RUNS);
     expect(served).toBeGreaterThan(SERVED_SHARE);
   });
 
-  it('is told by its body too, however that travels, where it may not be repeated', async () => {
+  it('is recognized by its body too, however that is sent, on a route without repeats', async () => {
     const crashing = {
       path: () => '/buy/desk',
       method: 'POST',
@@ -105,26 +106,26 @@
       everyMs: 125,
       crashes: true,
     };
-    const innocent = {
+    const harmless = {
       path: () => '/buy/desk',
       method: 'POST',
       body: (index: number) => `body ${index}`,
       everyMs: 50,
       crashes: false,
     };
-    const streams = await sendAlways(mesh, [innocent, crashing], 15, 2);
+    const streams = await sendAlways(mesh, [harmless, crashing], 15, 2);
     expect(lateRuns([MARK])[0]).toBeLessThanOrEqual(ALLOWED_RUNS);
     expect(servedShare(streams.slice(0, 1), 15)).toBeGreaterThan(SERVED_SHARE);
   });
 
-  it('is known for each of several, also to nodes that have all been started anew', async () => {
+  it('is recognized if there are several, also after all nodes have been restarted', async () => {
     const marks = ['crash-1', 'crash-2', 'crash-3'];
     const crashing = marks.map((mark) => ({
       path: () => `/read/${mark}`,
       everyMs: 333,
       crashes: true,
     }));
-    const served = await play(crashing, 20, async () => {
+    const served = await runTraffic(crashing, 20, async () => {
       await delay(8_000);
       await Promise.all(mesh.machines.map((machine) => machine.restart()));
     });
@@ -132,9 +133,9 @@
     expect(served).toBeGreaterThan(SERVED_SHARE);
   });
 
-  it('is known when it comes seldom', async () => {
+  it('is recognized if it arrives only every two seconds', async () => {
     const crashing = { path: () => `/read/${MARK}`, everyMs: 2_000, crashes: true };
-    const served = await play([crashing], 20);
+    const served = await runTraffic([crashing], 20);
     expect(lateRuns([MARK])[0]).toBeLessThanOrEqual(ALLOWED_RUNS);
     expect(served).toBeGreaterThan(SERVED_SHARE);
   });
--- a/test/decisionLog.test.ts
+++ b/test/decisionLog.test.ts
@@ -1,4 +1,8 @@
-/** A mesh whose back ends fail in every way they can: its own logs show no broken rule. */
+/**
+ * Guards against nodes that break a rule of the decision log, such as the limits on attempts and
+ * repeats, while back ends show every fault of the stand-in, a node restarts and a new version
+ * comes into force. The rules are checked on the nodes' own log lines.
+ */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { Behaviour } from '../lab/applicationAnswer.js';
 import { checkDecisionLog, type LogLine } from '../lab/decisionLogCheck.js';
@@ -17,7 +21,7 @@
 
 const SEED = 20;
 const REQUESTS = 160;
-const AT_ONCE = 8;
+const CONCURRENCY = 8;
 const MAX_ATTEMPTS = 2;
 const FAULTS: readonly Behaviour[] = [
   'stay-silent',
@@ -28,7 +32,7 @@
   'answer-early',
 ];
 
-it('keeps its promises while back ends lose, spoil and reject, and a node dies', async () => {
+it('no rule is broken while back ends lose or reject requests or spoil answers, and a node restarts', async () => {
   const random = seededRandom(SEED);
   const first = await mesh.add('desk');
   const second = await mesh.add('desk', { zone: 'zone-b' });
@@ -48,7 +52,7 @@
     }
   }
   const send = async (worker: number) => {
-    for (let index = worker; index < REQUESTS; index += AT_ONCE) {
+    for (let index = worker; index < REQUESTS; index += CONCURRENCY) {
       const isGrant = index % 3 === 0;
       await call(entry.node.addresses.clients, `/${isGrant ? 'grant' : 'read'}/${index}`, {
         method: isGrant ? 'POST' : 'GET',
@@ -60,7 +64,7 @@
       }
     }
   };
-  await Promise.all(Array.from({ length: AT_ONCE }, (_, worker) => send(worker)));
+  await Promise.all(Array.from({ length: CONCURRENCY }, (_, worker) => send(worker)));
 
   const lines = mesh.machines.flatMap((machine) => machine.lines) as unknown as LogLine[];
   const breaches = checkDecisionLog(lines, {
--- a/test/explain-a-failure.test.ts
+++ b/test/explain-a-failure.test.ts
@@ -1,7 +1,6 @@
 /**
- * From the id of a failed request to its cause, by log lines alone: the four
- * worked examples of docs/OPERATIONS.md. Run with `--reporter verbose` to see
- * the lines.
+ * Checks that log lines alone lead from the id of a failed request to its cause. These are the four
+ * worked examples of docs/OPERATIONS.md; `--reporter verbose` prints their log lines.
  */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
@@ -21,7 +20,7 @@
   mesh.close();
 });
 
-/** The lines of a machine that match, printed. */
+/** Prints and returns the log lines of a machine that match. */
 function linesOf(machine: Machine, matches: (line: Line) => boolean): Line[] {
   const found = (machine.lines as unknown as Line[]).filter(matches);
   for (const line of found) {
@@ -31,7 +30,7 @@
 }
 
 describe('from the id of a failed request to its cause', () => {
-  it('a refusal under overload: the ingress names the owners, the owner its load', async () => {
+  it('a refusal under overload: the ingress logs the owners it asked, the owner logs its load', async () => {
     const owner = await mesh.add('desk', { slots: 1 });
     const entry = await mesh.add('vault');
     mesh.configure([
@@ -63,7 +62,7 @@
     expect(Number(atOwner?.meanServiceMs)).toBeGreaterThan(50);
   });
 
-  it('an attempt lost with a killed owner: the offer says who, and that its fate is unknown', async () => {
+  it('an attempt lost with a killed owner: the offer names the owner and an unknown result', async () => {
     const owner = await mesh.add('desk');
     const entry = await mesh.add('vault');
     mesh.configure([
@@ -94,10 +93,10 @@
     for (const { application } of mesh.machines) {
       application.crashesUnder = ({ target }) => target === '/read/crash';
     }
-    const ask = (requestId: string) =>
+    const send = (requestId: string) =>
       call(entry.node.addresses.clients, '/read/crash', { requestId });
-    await ask('crash-1');
-    const refused = await ask('crash-2');
+    await send('crash-1');
+    const refused = await send('crash-2');
     expect(refused).toMatchObject({ status: 503, body: '{"error":"quarantined"}\n' });
     const [line] = linesOf(
       entry,
@@ -106,8 +105,10 @@
     expect(line).toMatchObject({ code: 'quarantined', status: 503, offers: [] });
     const isSame = ({ fingerprint }: Line) => fingerprint === line?.fingerprint;
     const lines = [...linesOf(owner, isSame), ...linesOf(entry, isSame)];
-    const proofs = lines.filter(({ event, origin }) => event === 'quarantine' && origin === 'own');
-    expect(proofs).toMatchObject([{ change: 'begun', crashes: 2, caller: 'desk' }]);
+    const quarantines = lines.filter(
+      ({ event, origin }) => event === 'quarantine' && origin === 'own',
+    );
+    expect(quarantines).toMatchObject([{ change: 'begun', crashes: 2, caller: 'desk' }]);
     const tasks = lines.filter(({ event }) => event === 'task');
     expect(tasks).toMatchObject(
       Array(2).fill({ requestId: 'crash-1', result: 'unknown connection-lost' }),
@@ -115,15 +116,15 @@
     const crashes = mesh.machines.flatMap((machine) =>
       linesOf(machine, ({ event }) => event === 'crash'),
     );
-    const named = crashes.map(({ instance }) => instance);
-    expect(named.sort()).toEqual(tasks.map(({ instance }) => instance).sort());
+    const crashedInstances = crashes.map(({ instance }) => instance);
+    expect(crashedInstances.sort()).toEqual(tasks.map(({ instance }) => instance).sort());
     expect(crashes.flatMap(({ suspects }) => suspects)).toEqual([
       line?.fingerprint,
       line?.fingerprint,
     ]);
   });
 
-  it('a node that the store does not serve: no version, and when the store was lost', async () => {
+  it('a node that cannot reach the store: no version, and a log line when the store was lost', async () => {
     const machine = await mesh.add('desk');
     machine.view.failure = 'unavailable';
     mesh.store.wake();
