--- a/test/operator-tenants.test.ts
+++ b/test/operator-tenants.test.ts
@@ -1,11 +1,15 @@
-/** What the operators' commands tell of tenants: their limits, their use over the fleet, what a key opens. */
+/**
+ * Operators' commands about tenants: their limits, their use over all nodes, and their access to a
+ * route. Guards against output that contains an API key, and against use figures that are added up
+ * without saying which nodes did not report.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, SidecarMesh } from '../lab/sidecar-mesh.js';
 import { ExitCode } from '../src/cli/exitCode.js';
 import { runCommand as run } from './operatorCommand.js';
 
 describe('tenants', () => {
-  it('are printed with their limits, one or all, and no key of them', async () => {
+  it('are printed with their limits, one or all of them, and without their keys', async () => {
     const mesh = new SidecarMesh();
     mesh.configure([{ name: 'read', service: 'desk' }], {
       tenants: [
@@ -36,7 +40,7 @@
 
   afterEach(() => mesh.close());
 
-  it('is shown with what it has used over all nodes, and which of them do not say', async () => {
+  it('is shown with its use over all nodes, and with the nodes that do not report', async () => {
     const nodes = [];
     for (const zone of ['a', 'a', 'b']) {
       nodes.push(await mesh.add('desk', { zone, slots: 40, bounds: { quota: QUOTA } }));
@@ -71,7 +75,7 @@
     expect(await show('acme')).toMatchObject({ nodes: 2, outOfReach: [nodes[2]?.name] });
   });
 
-  it('is explained on a route: as whom it is served, how urgent, by which limit, or why not', async () => {
+  it('has its access to a route explained: tenant, priority and limit, or why it is refused', async () => {
     mesh.configure(
       [
         { name: 'read', service: 'desk', priority: 3 },
@@ -84,8 +88,8 @@
         ],
       },
     );
-    const explained = async (path: string, ...more: string[]) =>
-      (await run(mesh.store, ['explain', 'mesh.example', path, ...more])).results[0]?.access;
+    const explained = async (path: string, ...options: string[]) =>
+      (await run(mesh.store, ['explain', 'mesh.example', path, ...options])).results[0]?.access;
     expect(await explained('/read/1', '--tenant', 'acme')).toMatchObject({
       isGranted: true,
       tenant: 'acme',
--- a/test/operatorCommand.ts
+++ b/test/operatorCommand.ts
@@ -1,17 +1,17 @@
-/** One command of the operators against the store stand-in. */
+/** Runs operators' commands against the store stand-in. */
 import { labOperatorOutside } from '../lab/labOutside.js';
 import { type MemoryStore, StoreView } from '../lab/memory-store.js';
 import { runCli } from '../src/cli/runCli.js';
 
-/** Runs one command on a view of a store; the view outlives it. */
+/** Runs one command on a view of a store and returns its output. The view stays open. */
 export async function runCommand(
   store: MemoryStore,
-  words: readonly string[],
+  commandLine: readonly string[],
   view = new StoreView(store),
 ) {
   const printed: string[] = [];
   const errors: string[] = [];
-  const code = await runCli(['--json', ...words], {
+  const code = await runCli(['--json', ...commandLine], {
     outside: labOperatorOutside(() => view),
     write: (text) => printed.push(text),
     writeError: (text) => errors.push(text),
--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -1,4 +1,8 @@
-/** The operators' commands against the store stand-in, while its answers are lost and others write. */
+/**
+ * Operators' commands against the store stand-in. Guards against a change of the configuration that
+ * is lost, written twice or reported wrongly while answers of the store are lost or late, other
+ * operators write, or the store is restored from a copy.
+ */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -23,11 +27,16 @@
 
 afterEach(() => rmSync(folder, { recursive: true }));
 
-/** Writes a configuration with one route to `desk`; `more` is added to the route and to the rest. */
-function fileOf(name: string, pathPrefix: string, more = '', rest = ''): string {
+/** Writes a configuration file with one route to `desk`; the last two parameters add YAML text. */
+function writeConfiguration(
+  name: string,
+  pathPrefix: string,
+  routeFields = '',
+  sections = '',
+): string {
   const file = join(folder, `${name}.yaml`);
-  const route = `{ name: read, host: mesh.example, pathPrefix: ${pathPrefix}, kind: safe, service: desk${more} }`;
-  writeFileSync(file, `services: [{ name: desk }]\nroutes:\n  - ${route}\n${rest}`);
+  const route = `{ name: read, host: mesh.example, pathPrefix: ${pathPrefix}, kind: safe, service: desk${routeFields} }`;
+  writeFileSync(file, `services: [{ name: desk }]\nroutes:\n  - ${route}\n${sections}`);
   return file;
 }
 
@@ -36,10 +45,10 @@
 }
 
 describe('a change of the configuration', () => {
-  it('gets the next version, and can be read, compared and read again', async () => {
+  it('gets the next version, and can be compared and read back', async () => {
     const store = new MemoryStore();
-    const first = fileOf('first', '/a/');
-    const second = fileOf('second', '/b/');
+    const first = writeConfiguration('first', '/a/');
+    const second = writeConfiguration('second', '/b/');
     expect((await run(store, ['apply', first])).results).toEqual([
       { kind: 'accepted', version: 1 },
     ]);
@@ -55,22 +64,22 @@
     ]);
   });
 
-  it('that is not valid is written nowhere', async () => {
+  it('that is not valid is not written', async () => {
     const store = new MemoryStore();
-    const { code, results } = await run(store, ['apply', fileOf('bad', 'a')]);
+    const { code, results } = await run(store, ['apply', writeConfiguration('bad', 'a')]);
     expect(code).toBe(ExitCode.Rejected);
     expect(results).toMatchObject([{ findings: [{ path: 'routes.0.pathPrefix', line: 3 }] }]);
     expect(storedVersion(store)).toBeUndefined();
   });
 
-  it('of one of two racing operators is accepted, and the other is told', async () => {
+  it('of one of two concurrent operators is accepted, and the other one gets a conflict', async () => {
     const store = new MemoryStore();
-    await run(store, ['apply', fileOf('base', '/base/')]);
+    await run(store, ['apply', writeConfiguration('base', '/base/')]);
     for (let round = 0; round < 10; round += 1) {
       const views = [new StoreView(store), new StoreView(store)] as const;
       const results = await Promise.all([
-        run(store, ['apply', fileOf('left', '/left/')], views[0]),
-        run(store, ['apply', fileOf('right', '/right/')], views[1]),
+        run(store, ['apply', writeConfiguration('left', '/left/')], views[0]),
+        run(store, ['apply', writeConfiguration('right', '/right/')], views[1]),
       ]);
       expect(results.map(({ code }) => code).sort()).toEqual([ExitCode.Ok, ExitCode.Conflict]);
       const winner = results[0].code === ExitCode.Ok ? '/left/' : '/right/';
@@ -81,55 +90,59 @@
     }
   });
 
-  it('made from another version than the operator has seen is refused', async () => {
+  it('is rejected if the stored version is not the one that the operator expects', async () => {
     const store = new MemoryStore();
-    const file = fileOf('base', '/base/');
+    const file = writeConfiguration('base', '/base/');
     await run(store, ['apply', file]);
     const { code } = await run(store, ['apply', file, '--expect', '7']);
     expect(code).toBe(ExitCode.Conflict);
     expect(storedVersion(store)).toMatchObject({ version: 1 });
   });
 
-  it('whose answer is lost is told as accepted, once', async () => {
+  it('is accepted once if the answer of the store is lost', async () => {
     const store = new MemoryStore();
-    await run(store, ['apply', fileOf('base', '/base/')]);
+    await run(store, ['apply', writeConfiguration('base', '/base/')]);
     const view = new StoreView(store);
     view.answersToLose = 1;
-    const { results } = await run(store, ['apply', fileOf('next', '/next/')], view);
+    const { results } = await run(store, ['apply', writeConfiguration('next', '/next/')], view);
     expect(results).toEqual([{ kind: 'accepted', version: 2 }]);
     expect(storedVersion(store)).toMatchObject({ version: 2, routes: [{ pathPrefix: '/next/' }] });
   });
 
-  it('that is carried out late is not written twice', async () => {
+  it('is not written twice if the store carries it out late', async () => {
     const store = new MemoryStore();
-    await run(store, ['apply', fileOf('base', '/base/')]);
+    await run(store, ['apply', writeConfiguration('base', '/base/')]);
     const view = new StoreView(store);
     view.writesToDelay = 1;
     view.lateMs = 150;
     const before = store.revision;
-    const { results } = await run(store, ['apply', fileOf('next', '/next/')], view);
+    const { results } = await run(store, ['apply', writeConfiguration('next', '/next/')], view);
     expect(results).toEqual([{ kind: 'accepted', version: 2 }]);
     expect(store.revision - before).toBe(1);
   });
 
-  it('without a store says so, and writes nothing', async () => {
+  it('fails as unavailable if the store cannot be reached', async () => {
     const view = new StoreView(new MemoryStore());
     view.failure = 'unavailable';
-    const { code } = await run(new MemoryStore(), ['apply', fileOf('base', '/base/')], view);
+    const { code } = await run(
+      new MemoryStore(),
+      ['apply', writeConfiguration('base', '/base/')],
+      view,
+    );
     expect(code).toBe(ExitCode.Unavailable);
   });
 });
 
-describe('a word that is no command', () => {
-  it('is a wrong use, with the help', async () => {
+describe('an unknown command', () => {
+  it('is a usage error and prints the help', async () => {
     const { code, errors } = await run(new MemoryStore(), ['nonsense']);
     expect(code).toBe(ExitCode.Usage);
     expect(errors.join('')).toContain('validate');
   });
 });
 
-describe('the users’ form of a configuration', () => {
-  it('says the same after it has been written and read', () => {
+describe('the stored form of a configuration', () => {
+  it('decodes to the configuration that was encoded', () => {
     const file = new URL('../examples/lektorka.yaml', import.meta.url).pathname;
     const { configuration } = readConfigurationFile(file);
     if (!configuration) {
@@ -142,7 +155,7 @@
   });
 });
 
-describe('a mesh under its operators', () => {
+describe('a mesh that operators change', () => {
   let mesh: SidecarMesh;
 
   beforeEach(() => {
@@ -151,12 +164,16 @@
 
   afterEach(() => mesh.close());
 
-  it('shows a version in force on every node, and names a node that is gone', async () => {
+  it('shows when a version is in force on every node, and names a node that has stopped', async () => {
     const [first, second] = await Promise.all([
       mesh.add('desk'),
       mesh.add('desk', { zone: 'zone-b' }),
     ]);
-    const applied = await run(mesh.store, ['apply', fileOf('base', '/read/'), '--wait']);
+    const applied = await run(mesh.store, [
+      'apply',
+      writeConfiguration('base', '/read/'),
+      '--wait',
+    ]);
     expect(applied.results).toMatchObject([
       { kind: 'accepted', version: 1 },
       { inForce: true, nodes: 2 },
@@ -170,23 +187,27 @@
     expect(first.node.status.version).toBe(1);
   });
 
-  describe('when the store comes back from a copy', () => {
+  describe('when the store has been restored from a copy', () => {
     const startTwo = async () => {
       await mesh.add('desk');
       await mesh.add('desk', { zone: 'zone-b' });
-      await run(mesh.store, ['apply', fileOf('base', '/read/'), '--wait']);
-      const known = ({ ownersPresent, ownersAbsent }: SidecarStatus) =>
+      await run(mesh.store, ['apply', writeConfiguration('base', '/read/'), '--wait']);
+      const knownOwners = ({ ownersPresent, ownersAbsent }: SidecarStatus) =>
         ownersPresent + ownersAbsent;
-      await waitFor(() => mesh.machines.every(({ node }) => known(node.status) === 2));
+      await waitFor(() => mesh.machines.every(({ node }) => knownOwners(node.status) === 2));
     };
     const versions = () => mesh.machines.map(({ node }) => node.status.version);
 
-    it('gives a change a version that no node has held, and it comes into force', async () => {
+    it('gives a change a version that no node has had in force, and it comes into force', async () => {
       await startTwo();
-      const copied = mesh.store.revision;
-      await run(mesh.store, ['apply', fileOf('lost', '/lost/'), '--wait']);
-      mesh.store.restore(copied);
-      const applied = await run(mesh.store, ['apply', fileOf('next', '/next/'), '--wait']);
+      const copiedRevision = mesh.store.revision;
+      await run(mesh.store, ['apply', writeConfiguration('lost', '/lost/'), '--wait']);
+      mesh.store.restore(copiedRevision);
+      const applied = await run(mesh.store, [
+        'apply',
+        writeConfiguration('next', '/next/'),
+        '--wait',
+      ]);
       expect(applied.results).toMatchObject([
         { kind: 'accepted', version: 3 },
         { inForce: true, nodes: 2 },
@@ -194,36 +215,40 @@
       expect(versions()).toEqual([3, 3]);
     });
 
-    it('tells the one who waits that the store has lost the change', async () => {
+    it('reports to a waiting operator that the store has lost the change', async () => {
       await startTwo();
-      const copied = mesh.store.revision;
+      const copiedRevision = mesh.store.revision;
       for (const { view } of mesh.machines) {
         view.failure = 'unavailable';
       }
-      const waiting = run(mesh.store, ['apply', fileOf('lost', '/lost/'), '--wait']);
-      await waitFor(() => mesh.store.revision > copied);
-      mesh.store.restore(copied);
-      const { code, results } = await waiting;
+      const pending = run(mesh.store, ['apply', writeConfiguration('lost', '/lost/'), '--wait']);
+      await waitFor(() => mesh.store.revision > copiedRevision);
+      mesh.store.restore(copiedRevision);
+      const { code, results } = await pending;
       expect(code).toBe(ExitCode.Unknown);
       expect(results).toMatchObject([{ kind: 'accepted' }, { inForce: false, isLost: true }]);
     });
 
-    it('waits for a node whose record is lost as well', async () => {
+    it('waits also for a node whose record is lost', async () => {
       await startTwo();
       const [, second] = mesh.machines;
       if (second) {
         second.view.failure = 'unavailable';
         mesh.store.delete(NODE_KIND, second.name);
       }
-      const applied = await run(mesh.store, ['apply', fileOf('next', '/next/'), '--wait']);
+      const applied = await run(mesh.store, [
+        'apply',
+        writeConfiguration('next', '/next/'),
+        '--wait',
+      ]);
       expect(applied.results).toMatchObject([{ version: 2 }, { inForce: true, nodes: 2 }]);
     });
   });
 
-  it('keeps requests where a policy allows them, and explains why', async () => {
+  it('sends requests only to owners that the policy allows, and explains which those are', async () => {
     const near = await mesh.add('desk');
     const far = await mesh.add('desk', { zone: 'zone-b' });
-    const file = fileOf(
+    const file = writeConfiguration(
       'placed',
       '/read/',
       ', policies: [far-only]',
@@ -244,7 +269,7 @@
       [far.name]: true,
     });
     expect((await call(clients, '/read/%2f..%2fx')).status).toBe(400);
-    // Nobody may serve: that is said, and nothing is run.
+    // No permitted owner is left: the refusal gives that reason, and nothing runs.
     far.node.close();
     mesh.store.delete('spindlepaddle-nodes', far.name);
     await waitFor(async () =>
@@ -253,15 +278,15 @@
     expect(near.application.runs).toHaveLength(0);
   });
 
-  it('holds a version back until its secret is there, and gives it to the back end alone', async () => {
+  it('holds a version back until its secret is stored, and gives the secret only to the back end', async () => {
     const machine = await mesh.add('desk');
     const secretFile = join(folder, 'token');
     writeFileSync(secretFile, 'token-1\n');
-    await run(mesh.store, ['apply', fileOf('open', '/read/'), '--wait']);
+    await run(mesh.store, ['apply', writeConfiguration('open', '/read/'), '--wait']);
     await mesh.settled();
-    const other = new MemoryStore();
-    const [written] = (await run(other, ['secret', 'token', secretFile])).results;
-    const file = fileOf(
+    const otherStore = new MemoryStore();
+    const [written] = (await run(otherStore, ['secret', 'token', secretFile])).results;
+    const file = writeConfiguration(
       'secret',
       '/read/',
       ', credential: { header: X-Token, secret: token }',
@@ -270,7 +295,7 @@
     await run(mesh.store, ['apply', file]);
     await waitFor(() => machine.lines.some(({ event }) => event === 'configuration-waits'));
     expect(machine.node.status.version).toBe(1);
-    // A value with another digest does not do.
+    // A value with another digest does not bring the version into force.
     writeFileSync(secretFile, 'token-2\n');
     await run(mesh.store, ['secret', 'token', secretFile]);
     await new Promise((resolve) => setTimeout(resolve, 700));
@@ -286,7 +311,7 @@
     expect(JSON.stringify(machine.lines)).not.toContain('token-1');
   });
 
-  it('does not put a version in force whose policy cannot be compiled', async () => {
+  it('does not bring a version into force whose policy cannot be compiled', async () => {
     const machine = await mesh.add('desk');
     mesh.configure([{ name: 'read', service: 'desk' }]);
     await mesh.settled();
@@ -300,7 +325,7 @@
 });
 
 describe('quarantines', () => {
-  it('are printed, and lifted by the fingerprint', async () => {
+  it('are printed, and lifted by fingerprint', async () => {
     const store = new MemoryStore();
     expect((await run(store, ['quarantines'])).results).toEqual([{ quarantines: [] }]);
     const request = { fingerprint: 'f1', caller: 'desk', crashes: 3 };
@@ -316,8 +341,8 @@
     ]);
     expect((await run(store, ['lift', 'f1'])).code).toBe(ExitCode.Ok);
     expect([...store.kind(CRASH_KIND).keys()]).toEqual(['i-0']);
-    const away = new StoreView(store);
-    away.failure = 'unavailable';
-    expect((await run(store, ['quarantines'], away)).code).toBe(ExitCode.Unavailable);
+    const unavailableView = new StoreView(store);
+    unavailableView.failure = 'unavailable';
+    expect((await run(store, ['quarantines'], unavailableView)).code).toBe(ExitCode.Unavailable);
   });
 });
