--- a/test/bundle.test.ts
+++ b/test/bundle.test.ts
@@ -1,4 +1,7 @@
-/** The one file that runs on the users' machines is made by a bundler of its own: does it load? */
+/**
+ * Guards against a bundle that does not load. Users run one file that a separate bundler makes, so
+ * it can fail to load although the sources load.
+ */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -18,7 +21,7 @@
   rmSync(folder, { recursive: true });
 });
 
-it('loads as a whole, and says what is wrong with its settings', () => {
+it('loads and reports settings that it cannot use', () => {
   const file = join(folder, 'spindlepaddle.mjs');
   const built = spawnSync('npm', ['run', '--silent', 'bundle', '--', `--outfile=${file}`]);
   expect(built.stderr.toString()).toBe('');
--- a/test/configuration-follower.test.ts
+++ b/test/configuration-follower.test.ts
@@ -1,4 +1,8 @@
-/** A follower's calls to the store, and its way to a version that the store does not give it. */
+/**
+ * Guards against a follower that sends the store more requests than it needs, or that misses the
+ * apply deadline for a version that the store does not return to it. Other nodes announce such a
+ * version and hold it.
+ */
 import { afterEach, expect, it } from 'vitest';
 import { MemoryStore, StoreView } from '../lab/memory-store.js';
 import { waitFor } from '../lab/sidecar-mesh.js';
@@ -13,7 +17,7 @@
 
 const APPLY_MS = 400;
 
-/** Time in which a follower that would ask again has done so, in milliseconds. */
+/** Time within which any further request of the follower would have been sent, in milliseconds. */
 const QUIET_MS = APPLY_MS * 2;
 
 let follower: ConfigurationFollower;
@@ -25,10 +29,10 @@
   return { version, candidate, bytes: () => Buffer.from(String(version)) };
 }
 
-function follow(
+function startFollower(
   view: StoreView,
   askedPeers: string[],
-  more: Partial<ConfigurationFollowerOptions> = {},
+  overrides: Partial<ConfigurationFollowerOptions> = {},
 ): ConfigurationFollower {
   follower = new ConfigurationFollower({
     clock: monotonicClock,
@@ -53,34 +57,34 @@
       store: view,
       loadPolicyCompiler: () => Promise.resolve(compilePolicy),
     }),
-    ...more,
+    ...overrides,
   });
   follower.start();
   return follower;
 }
 
-it('leaves the store alone when its own watch brings what another node has heard first', async () => {
+it('sends the store no further request if its own watch returns a version that another node announced first', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const asked: string[] = [];
-  const node = follow(view, asked);
+  const askedPeers: string[] = [];
+  const node = startFollower(view, askedPeers);
   await waitFor(() => node.version === 1 && view.calls === 1);
   node.noteVersion('10.0.0.2:1', 2);
-  // The other node's watch was quicker: this node's own brings the version a little later.
+  // The other node's watch was faster; this node's own watch returns the version a little later.
   await new Promise((resolve) => setTimeout(resolve, APPLY_MS * 0.2));
   store.put('config', 'main', { version: 2 });
   await waitFor(() => node.version === 2);
   await new Promise((resolve) => setTimeout(resolve, QUIET_MS));
-  expect(asked).toEqual([]);
-  // The list, and the watch that brought the change. The next watch is still waiting.
+  expect(askedPeers).toEqual([]);
+  // The list, and the watch that returned the change. The next watch is still open.
   expect(view.calls).toBe(2);
 });
 
-it('may be behind from the moment at which it hears of a newer version until it holds that', async () => {
+it('may be stale from the announcement of a newer version until that version is in force', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
-  const node = follow(new StoreView(store), []);
+  const node = startFollower(new StoreView(store), []);
   expect(node.mayBeStale).toBe(true);
   await waitFor(() => node.version === 1);
   expect(node.mayBeStale).toBe(false);
@@ -91,65 +95,65 @@
   expect(node.mayBeStale).toBe(false);
 });
 
-it('may be behind when it has heard nothing for most of the bound', async () => {
+it('may be stale if nothing has confirmed its version for most of the apply deadline', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
-  const node = follow(new StoreView(store), []);
+  const node = startFollower(new StoreView(store), []);
   await waitFor(() => node.version === 1);
   await new Promise((resolve) => setTimeout(resolve, APPLY_MS * 0.85));
   expect(node.mayBeStale).toBe(true);
 });
 
-it('takes a version from another node within the bound when its watch stays silent', async () => {
+it('fetches a version from another node within the apply deadline if its watch returns nothing', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const asked: string[] = [];
-  const node = follow(view, asked);
+  const askedPeers: string[] = [];
+  const node = startFollower(view, askedPeers);
   await waitFor(() => node.version === 1);
-  const heardAt = performance.now();
+  const announcedAt = performance.now();
   node.noteVersion('10.0.0.2:1', 9);
   await waitFor(() => node.version === 9);
-  expect(performance.now() - heardAt).toBeLessThan(APPLY_MS);
-  expect(asked).toEqual(['10.0.0.2:1']);
+  expect(performance.now() - announcedAt).toBeLessThan(APPLY_MS);
+  expect(askedPeers).toEqual(['10.0.0.2:1']);
 });
 
-it('asks another node at once while the store does not answer', async () => {
+it('asks another node at once while the store is unavailable', async () => {
   const view = new StoreView(new MemoryStore());
   view.failure = 'unavailable';
-  const asked: string[] = [];
-  const node = follow(view, asked);
+  const askedPeers: string[] = [];
+  const node = startFollower(view, askedPeers);
   node.noteVersion('10.0.0.2:1', 9);
   await waitFor(() => node.version === 9);
-  expect(asked).toEqual(['10.0.0.2:1']);
+  expect(askedPeers).toEqual(['10.0.0.2:1']);
 });
 
-it('takes a version from the node that holds it in time when the store is silent to this one', async () => {
+it('fetches a version from the announcing node within the apply deadline if the store does not answer', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const asked: string[] = [];
-  const node = follow(view, asked);
+  const askedPeers: string[] = [];
+  const node = startFollower(view, askedPeers);
   await waitFor(() => node.version === 1 && node.isConnected);
   view.list = () => new Promise(() => {});
   view.watch = () => new Promise(() => {});
-  const heardAt = performance.now();
+  const announcedAt = performance.now();
   node.noteVersion('peer', 9);
   await waitFor(() => node.version === 9);
-  expect(performance.now() - heardAt).toBeLessThan(APPLY_MS);
-  expect(asked).toEqual(['peer']);
+  expect(performance.now() - announcedAt).toBeLessThan(APPLY_MS);
+  expect(askedPeers).toEqual(['peer']);
 });
 
-it('may be behind while the lists that it gets are older than what it has seen, though the store is within reach', async () => {
+it('may be stale while its lists are older than data it has already read, although the store is reachable', async () => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 1 });
   const view = new StoreView(store);
-  const node = follow(view, [], { storeReachableAt: () => monotonicClock.now() });
-  const old = store.revision;
+  const node = startFollower(view, [], { storeReachableAt: () => monotonicClock.now() });
+  const oldRevision = store.revision;
   await waitFor(() => node.version === 1 && node.isConnected);
   store.put('config', 'other', {});
   await waitFor(() => view.calls === 2);
-  view.listsAsOf = old;
+  view.listsAsOf = oldRevision;
   store.put('others', 'other', {});
   store.compact();
   await waitFor(() => !node.isConnected);
@@ -157,20 +161,22 @@
 });
 
 it.each([
-  ['the newest of those that others hold', [4, 9, 0], 9, ['node-2']],
-  ['what the store lists if none holds a newer one', [0, 5], 5, []],
-])('begins with %s', async (_name, held, version, asked) => {
+  ['the newest version that other nodes hold', [4, 9, 0], 9, ['node-2']],
+  ['the version in the store if no other node holds a newer one', [0, 5], 5, []],
+])('starts with %s', async (_name, peerVersions, version, expectedPeers) => {
   const store = new MemoryStore();
   store.put('config', 'main', { version: 5 });
   const askedPeers: string[] = [];
-  const versions: number[] = [];
-  const node = follow(new StoreView(store), askedPeers, {
+  const appliedVersions: number[] = [];
+  const node = startFollower(new StoreView(store), askedPeers, {
     fetchPeerVersions: () =>
-      Promise.resolve(held.map((each, index) => ({ address: `node-${index + 1}`, version: each }))),
-    onApplied: (routes) => versions.push(routes.version),
+      Promise.resolve(
+        peerVersions.map((each, index) => ({ address: `node-${index + 1}`, version: each })),
+      ),
+    onApplied: (routes) => appliedVersions.push(routes.version),
   });
   await waitFor(() => node.version > 0);
   await new Promise((resolve) => setTimeout(resolve, APPLY_MS));
-  expect(versions).toEqual([version]);
-  expect(askedPeers).toEqual(asked);
+  expect(appliedVersions).toEqual([version]);
+  expect(askedPeers).toEqual(expectedPeers);
 });
--- a/test/fixtures.ts
+++ b/test/fixtures.ts
@@ -1,11 +1,11 @@
-/** Values that many tests need and few look at. */
+/** Default values for tests; a test overrides only the fields that matter to it. */
 
 import { Cancellation } from '../src/owner/cancellation.js';
 import { EMPTY_BODY } from '../src/owner/message-body.js';
 import type { OwnerTask } from '../src/owner/owner.js';
 import type { PeerReport } from '../src/peer/peerMessages.js';
 
-/** A ready, idle owner of `desk`. */
+/** Report of a ready, idle owner of `desk`. */
 export function peerReport(overrides: Partial<PeerReport> = {}): PeerReport {
   return {
     service: 'desk',
@@ -24,7 +24,7 @@
   };
 }
 
-/** A small read of `desk` that came at time 0. */
+/** A read of `desk` without a body that arrived at time 0. */
 export function ownerTask(overrides: Partial<OwnerTask> = {}): OwnerTask {
   return {
     requestId: 'r',
--- a/test/layout.test.ts
+++ b/test/layout.test.ts
@@ -1,4 +1,7 @@
-/** The tree as CONTRIBUTING draws it: folders import downwards only, and no file has grown large. */
+/**
+ * Checks the layout that CONTRIBUTING describes: folders import only from folders below them, and no
+ * file of the product has more than {@link MAX_LINES} lines.
+ */
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { expect, it } from 'vitest';
@@ -6,7 +9,7 @@
 const ROOT = new URL('..', import.meta.url).pathname;
 const MAX_LINES = 300;
 
-/** From the top: a folder may import what stands below it. */
+/** Folders from top to bottom. A folder may import only from the folders below it. */
 const ORDER = [
   'cli',
   'sidecar',
