--- a/test/crashing-requests.test.ts
+++ b/test/crashing-requests.test.ts
@@ -21,7 +21,7 @@
 const MACHINES = 9;
 const ZONES = 3;
 
-/** Time within which all connected nodes have received the third crash, in milliseconds. */
+/** Time within which all connected nodes have a report of the third crash, in milliseconds. */
 const CONTACT_MS = 3_000;
 
 /** Most runs of a crashing request after that time, over all nodes. */
