--- a/test/refused-rollouts.test.ts
+++ b/test/refused-rollouts.test.ts
@@ -1,12 +1,16 @@
-/** Roll-outs over real sockets while the store turns some machines away: these hear of orders from the others. */
+/**
+ * Roll-outs over real sockets while the store is unavailable to all machines of one version. These
+ * receive the order only from the other nodes, and a bad version must still be rolled back in time
+ * and within its bound.
+ */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 import { evidence, hasEnded, orderRollout, ROLLOUT_BOUNDS, statusOf } from './rolloutOrders.js';
 
 const DURATION_S = 10;
 
-/** From one request of a client to its next, in milliseconds. */
-const PACE_MS = 40;
+/** Interval between two requests of a client, in milliseconds. */
+const REQUEST_INTERVAL_MS = 40;
 
 let mesh: SidecarMesh;
 let timers: NodeJS.Timeout[];
@@ -33,8 +37,8 @@
 }
 
 it.each(['v1', 'v2'])(
-  'rolls a bad version back within its bound while the store refuses all machines with %s',
-  async (refused) => {
+  'rolls a bad version back within its bound while the store is unavailable to all machines of %s',
+  async (cutOffVersion) => {
     const machines = { v1: await add('v1'), v2: [] as Machine[] };
     mesh.configure([{ name: 'read', service: 'desk' }]);
     await mesh.settled();
@@ -43,7 +47,7 @@
       setInterval(
         () =>
           void call(node.addresses.clients, '/read/1').then(({ status }) => statuses.push(status)),
-        PACE_MS,
+        REQUEST_INTERVAL_MS,
       ),
     );
     machines.v2 = await add('v2');
@@ -51,7 +55,7 @@
       application.fateOf = () => (Math.random() < 0.5 ? { status: 500 } : {});
     }
     await mesh.settled();
-    for (const { view } of machines[refused as 'v1' | 'v2']) {
+    for (const { view } of machines[cutOffVersion as 'v1' | 'v2']) {
       view.failure = 'unavailable';
     }
     const runsOfBad = () => machines.v2.flatMap(({ application }) => application.runs).length;
--- a/test/restored-rollouts.test.ts
+++ b/test/restored-rollouts.test.ts
@@ -1,6 +1,7 @@
 /**
- * Roll-outs while the store comes back from a copy: the status that the system wrote, or the order itself, is
- * gone for a while. Without the repair a version that was rolled back began anew, and a running order was over.
+ * Roll-outs when the store is restored from a copy: the status that the system wrote, or the order
+ * itself, is missing for a while. Unless nodes repair that, a version that was rolled back is
+ * rolled out again, and a running order ends.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, expect, it } from 'vitest';
@@ -13,19 +14,22 @@
 /** Requests a second to each of the old machines. */
 const RATE = 40;
 
-/** The operator writes the order again so long after the store is back, in milliseconds. */
-const REWRITTEN_MS = 1_000;
+/** Time from the restore until the operator writes the order again, in milliseconds. */
+const REWRITE_DELAY_MS = 1_000;
 
-/** A status that was lost is there again within this time, in milliseconds: turns of some nodes. */
-const AGAIN_MS = 4_000;
+/**
+ * A lost status is written again within this time, in milliseconds; it covers the turns of a few
+ * nodes.
+ */
+const REPAIR_MS = 4_000;
 
-/** Time in which nodes would begin an order anew, in milliseconds. */
+/** Time in which nodes would begin the order again if they did so wrongly, in milliseconds. */
 const QUIET_MS = 2_000;
 
 let mesh: SidecarMesh;
 let timers: NodeJS.Timeout[];
 let statuses: number[];
-/** When the order was written first, on the steady clock. */
+/** Time of the first write of the order, on the steady clock. */
 let orderedAt: number;
 
 beforeEach(() => {
@@ -53,7 +57,10 @@
 const order = () =>
   orderRollout(mesh, { service: 'desk', targetVersion: 'v2', durationS: DURATION_S });
 
-/** Old machines under load, then the order, then machines of the new version; gives the latter. */
+/**
+ * Starts old machines under load, writes the order, then adds and returns machines of the new
+ * version.
+ */
 async function startRollout(fails: boolean): Promise<Machine[]> {
   const old = await add(3, 'v1');
   mesh.configure([{ name: 'read', service: 'desk' }]);
@@ -81,8 +88,8 @@
 const changes = (change: string) =>
   mesh.machines.flatMap(({ lines }) => lines.filter((line) => line.change === change));
 
-/** The store's revision just before the order had this state. */
-function before(state: string): number {
+/** The store's revision just before the order first had this state. */
+function revisionBefore(state: string): number {
   const change = mesh.store.log.find(
     ({ kind, object }) =>
       kind === ROLLOUT_KIND && (object.status as { state?: string } | undefined)?.state === state,
@@ -90,7 +97,7 @@
   return (change?.revision ?? 1) - 1;
 }
 
-/** The store's revision that the order was first written at. */
+/** The store's revision at the first write of the order. */
 function orderRevision(): number {
   return mesh.store.log.find(({ kind }) => kind === ROLLOUT_KIND)?.revision ?? 0;
 }
@@ -100,11 +107,11 @@
   await waitFor(() => hasEnded(mesh, 'desk'));
   await waitFor(() => changes('order').length >= mesh.machines.length);
   const ran = runsOf(fresh);
-  const backAt = performance.now();
-  mesh.store.restore(before('rolled_back'));
+  const restoredAt = performance.now();
+  mesh.store.restore(revisionBefore('rolled_back'));
   expect(hasEnded(mesh, 'desk')).toBe(false);
   await waitFor(() => hasEnded(mesh, 'desk'));
-  expect(performance.now() - backAt).toBeLessThan(AGAIN_MS);
+  expect(performance.now() - restoredAt).toBeLessThan(REPAIR_MS);
   await delay(QUIET_MS);
   expect(statusOf(mesh, 'desk'), evidence(mesh)).toEqual({
     'target-version': 'v2',
@@ -117,10 +124,10 @@
   await startRollout(false);
   await waitFor(() => hasEnded(mesh, 'desk'));
   const failed = statuses.filter((status) => status !== 200).length;
-  const backAt = performance.now();
-  mesh.store.restore(before('completed'));
+  const restoredAt = performance.now();
+  mesh.store.restore(revisionBefore('completed'));
   await waitFor(() => hasEnded(mesh, 'desk'));
-  expect(performance.now() - backAt).toBeLessThan(AGAIN_MS);
+  expect(performance.now() - restoredAt).toBeLessThan(REPAIR_MS);
   await delay(QUIET_MS);
   expect(statusOf(mesh, 'desk'), evidence(mesh)).toEqual({
     'target-version': 'v2',
@@ -133,7 +140,7 @@
   const fresh = await startRollout(false);
   await delay(2_000);
   mesh.store.restore(orderRevision() - 1);
-  await delay(REWRITTEN_MS);
+  await delay(REWRITE_DELAY_MS);
   order();
   await waitFor(() => hasEnded(mesh, 'desk'));
   const tookMs = performance.now() - orderedAt;
--- a/test/rollout-commands.test.ts
+++ b/test/rollout-commands.test.ts
@@ -1,4 +1,8 @@
-/** The operators' commands about roll-outs against the store stand-in. */
+/**
+ * The operators' roll-out commands against the store stand-in: no impossible order is written, no
+ * running order is replaced by mistake, and conflicts and an unavailable store have their own exit
+ * codes.
+ */
 import { describe, expect, it } from 'vitest';
 import { CONFIGURATION_KIND, CONFIGURATION_NAME } from '../lab/labOutside.js';
 import { MemoryStore, StoreView } from '../lab/memory-store.js';
@@ -25,7 +29,7 @@
   ((results[0]?.findings ?? []) as { code: string }[]).map(({ code }) => code);
 
 describe('rollout', () => {
-  it('start writes an order, and status tells its state', async () => {
+  it('start writes an order, and status reports its state', async () => {
     const store = storeWithDesk();
     expect((await start(store)).code).toBe(ExitCode.Ok);
     expect(orderIn(store)?.spec).toEqual({
@@ -43,7 +47,7 @@
     ]);
   });
 
-  it('start refuses orders that cannot be, each with its finding, and writes nothing', async () => {
+  it('start rejects an order with several faults, each with its finding, and writes nothing', async () => {
     const store = storeWithDesk();
     const words = ['rollout', 'start', 'shop', 'v2', '--duration', '3'];
     const refused = await run(store, words);
@@ -52,7 +56,7 @@
     expect(store.kind(ROLLOUT_KIND).size).toBe(0);
   });
 
-  it('start does not end an order that runs unless told to', async () => {
+  it('start replaces a running order only with --replace', async () => {
     const store = storeWithDesk();
     await start(store);
     const second = ['rollout', 'start', 'desk', 'v3', '--duration', '15'];
@@ -62,7 +66,7 @@
   });
 
   it.each(['15', '20'])(
-    'start orders a version again that was rolled back, for %s seconds: its old status goes',
+    'start orders a version again that was rolled back, for %s seconds, and its old status is removed',
     async (duration) => {
       const store = storeWithDesk();
       await start(store);
@@ -82,7 +86,7 @@
     },
   );
 
-  it('start tells when somebody else was quicker, or the store is away', async () => {
+  it('start reports a conflict with another writer, and an unavailable store', async () => {
     const store = storeWithDesk();
     await start(store);
     store.putStatus(ROLLOUT_KIND, 'desk', { 'target-version': 'v2', state: 'completed' });
@@ -99,7 +103,7 @@
     expect((await run(store, words, view)).code).toBe(ExitCode.Unavailable);
   });
 
-  it('watch ends with the order, and says how', async () => {
+  it('watch ends with the order and prints its last state', async () => {
     const store = storeWithDesk();
     await start(store);
     const watched = run(store, ['rollout', 'watch', 'desk', '--timeout', '5']);
--- a/test/rollout-troubles.test.ts
+++ b/test/rollout-troubles.test.ts
@@ -1,4 +1,8 @@
-/** Roll-outs over real sockets while the store is down or slow for all nodes; two services at once. */
+/**
+ * Roll-outs over real sockets while the store is unavailable or slow for all nodes, with two
+ * services at once: the orders must still end in time, keep the bad version within its bound and
+ * lose no requests.
+ */
 import { afterEach, beforeEach, expect, it } from 'vitest';
 import type { RunFate } from '../lab/application-stand-in.js';
 import { StoreView } from '../lab/memory-store.js';
@@ -15,11 +19,13 @@
 const DURATION_S = 10;
 const RATE = 25;
 
-/** The store is down from here on, in milliseconds after the orders, and for so long. */
+/** The store becomes unavailable this many milliseconds after the orders. */
 const DOWN_AFTER_MS = 1_500;
+
+/** The store is unavailable for this time, in milliseconds. */
 const DOWN_MS = 4_000;
 
-/** Each call to a store that is nearly standing takes so much longer, in milliseconds. */
+/** Extra time of each call to a store that hardly responds, in milliseconds. */
 const VERY_SLOW_MS = 1_200;
 
 let mesh: SidecarMesh;
@@ -32,8 +38,8 @@
 
 const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** A way to the store on which every call is carried out so much later, in milliseconds. */
-function slowWay(delayMs: () => number): StoreView {
+/** A store client whose calls are each delayed by this time, in milliseconds. */
+function slowClient(delayMs: () => number): StoreView {
   return new Proxy(new StoreView(mesh.store), {
     get: (view, name) => {
       const value: unknown = Reflect.get(view, name);
@@ -54,7 +60,7 @@
 ): Promise<Machine[]> {
   const machines: Machine[] = [];
   for (const zone of ['zone-a', 'zone-b', 'zone-a']) {
-    const client = delayMs && slowWay(delayMs);
+    const client = delayMs && slowClient(delayMs);
     const common = { zone, version, bounds: { rollout: ROLLOUT_BOUNDS }, slots: 8 };
     const options = client ? { ...common, client } : common;
     const machine = await mesh.add(service, options);
@@ -64,7 +70,7 @@
   return machines;
 }
 
-/** Clients of both services at a steady rate, on two routes of each. */
+/** Sends requests of both services at a steady rate, on two routes of each. */
 function startClients(machines: readonly Machine[]) {
   const results: ClientResult[] = [];
   const waiting = new Set<Promise<void>>();
--- a/test/rolloutOrders.ts
+++ b/test/rolloutOrders.ts
@@ -1,10 +1,13 @@
-/** Orders of roll-outs in the store stand-in, for tests: written as an operator does, and how they ended. */
+/**
+ * Writes roll-out orders to the store stand-in as an operator does, and reads their status, for
+ * tests.
+ */
 import type { SidecarMesh } from '../lab/sidecar-mesh.js';
 import { ROLLOUT_KIND } from '../platform/rollouts.js';
 
 export const ROLLOUT_BOUNDS = { exposureShare: 0.1, exposureSlack: 50, rollbackMs: 5_000 };
 
-/** What is asked for; the duration in seconds, as in the store. */
+/** Content of an order; the duration is in seconds, as in the store. */
 export interface TestOrder {
   readonly service: string;
   readonly targetVersion: string;
@@ -16,7 +19,7 @@
   mesh.store.put(ROLLOUT_KIND, service, order);
 }
 
-/** The status that the system has written; undefined before the first. */
+/** The status that the system has written. Undefined before the first write. */
 export function statusOf(mesh: SidecarMesh, service: string) {
   const object = mesh.store.kind(ROLLOUT_KIND).get(service);
   return object?.status as Record<string, unknown> | undefined;
@@ -26,7 +29,7 @@
   return ['completed', 'rolled_back'].includes(String(statusOf(mesh, service)?.state));
 }
 
-/** What the deciders have logged last, for a failure's message. */
+/** The last 16 log lines of the deciders, for the message of a failed check. */
 export function evidence(mesh: SidecarMesh): string {
   return mesh.machines
     .flatMap(({ lines }) => lines)
--- a/test/rollouts.test.ts
+++ b/test/rollouts.test.ts
@@ -1,4 +1,8 @@
-/** Roll-outs over real sockets: a good version is completed with nothing lost, a bad one rolled back. */
+/**
+ * Roll-outs over real sockets: a good version is completed in time without a lost request, and a
+ * bad version is rolled back in time and within its exposure bound. Both must hold when the leader
+ * ends midway or the order is withdrawn or replaced.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import type { RunFate } from '../lab/application-stand-in.js';
 import {
@@ -58,7 +62,7 @@
   return machines;
 }
 
-/** Clients that send at a steady rate until stopped. */
+/** Sends requests at a steady rate until stopped. */
 function startClients(machines: readonly Machine[]) {
   const answers: { at: number; result: ClientResult }[] = [];
   const waiting = new Set<Promise<void>>();
@@ -83,7 +87,7 @@
   };
 }
 
-/** A mesh of old machines; then the order, then the new machines. */
+/** Starts old machines and their clients, writes the order, then adds the new machines. */
 async function startRollout(durationS: number, fateOf: () => RunFate = () => ({})) {
   const old = await addMachines(OLD_MACHINES, OLD);
   mesh.configure([{ name: 'read', service: 'desk' }]);
@@ -103,11 +107,11 @@
   machines.flatMap(({ application }) => application.runs);
 
 describe('roll-outs', () => {
-  it('completes a good version in time, and its old back ends may stop at once', async () => {
+  it('completes a good version in time, after which the old back ends can stop at once', async () => {
     const { old, fresh, clients, orderedAt } = await startRollout(9);
     await waitFor(hasEnded);
     const endedAt = performance.now();
-    // The old back ends end with whatever they run.
+    // The old back ends stop at once, also with requests in flight.
     const cut = runsOf(old).filter((run) => run.cutAt !== undefined).length;
     for (const { application } of old) {
       application.close();
@@ -126,7 +130,7 @@
     expect(states()).toEqual([undefined, 'running', 'completed']);
   }, 30_000);
 
-  it('ends an order once and goes on when its decider is lost midway', async () => {
+  it('continues when the leader ends midway, and completes the order once', async () => {
     const { old, fresh, clients, orderedAt } = await startRollout(10);
     await new Promise((resolve) => setTimeout(resolve, 3_000));
     const all = [...old, ...fresh];
@@ -134,27 +138,28 @@
       'rollout/desk',
       all.map((machine) => machine.name),
     );
-    const decider = all.find((machine) => machine.name === name) as Machine;
-    expect(decider.lines.some(({ change }) => change === 'decision')).toBe(true);
-    decider.node.close();
+    const leader = all.find((machine) => machine.name === name) as Machine;
+    expect(leader.lines.some(({ change }) => change === 'decision')).toBe(true);
+    leader.node.close();
     await waitFor(hasEnded);
     await clients.stop();
     expect(performance.now() - orderedAt, orders.evidence(mesh)).toBeLessThan(10_000);
     expect(states()).toEqual([undefined, 'running', 'completed']);
   }, 30_000);
 
-  it('leaves a version alone whose order is taken back, and judges the one that replaces it', async () => {
+  it('sends nothing to a version whose order is withdrawn, and completes the next order for it', async () => {
     const { old, fresh, clients } = await startRollout(9);
     mesh.store.delete(ROLLOUT_KIND, 'desk');
-    const knowsRemoval = ({ lines }: Machine) => lines.some(({ change }) => change === 'removed');
-    await waitFor(() => [...old, ...fresh].every(knowsRemoval));
-    // What was sent before every node knew of it ends meanwhile.
+    const hasLoggedRemoval = ({ lines }: Machine) =>
+      lines.some(({ change }) => change === 'removed');
+    await waitFor(() => [...old, ...fresh].every(hasLoggedRemoval));
+    // Requests that were sent before every node had the removal end in this time.
     await new Promise((resolve) => setTimeout(resolve, 500));
     const before = runsOf(fresh).length;
     const oldBefore = runsOf(old).length;
     await new Promise((resolve) => setTimeout(resolve, 1_000));
     expect(runsOf(fresh).length).toBe(before);
-    // Clients were served meanwhile: 160 are sent in that second.
+    // Clients are served meanwhile: they send 160 requests in that second.
     expect(runsOf(old).length).toBeGreaterThan(oldBefore + 40);
     order(8);
     await waitFor(hasEnded);
@@ -166,7 +171,7 @@
     expect(runsOf(fresh).length).toBeGreaterThan(before);
   }, 30_000);
 
-  it('judges a version anew whose order ended, was replaced and put back unchanged', async () => {
+  it('decides again on a version whose order ended, was replaced and then written again unchanged', async () => {
     let isBad = true;
     const { clients } = await startRollout(8, () => (isBad ? { status: 500 } : {}));
     await waitFor(hasEnded);
@@ -186,7 +191,7 @@
     });
   }, 40_000);
 
-  const kinds: [string, (at: number) => RunFate][] = [
+  const badVersions: [string, (at: number) => RunFate][] = [
     ['fails half of its requests', () => (Math.random() < 0.5 ? { status: 500 } : {})],
     [
       'takes eight times as long for half of them',
@@ -198,7 +203,7 @@
     ],
   ];
 
-  it.each(kinds)(
+  it.each(badVersions)(
     'rolls a version back that %s',
     async (_name, fate) => {
       const startedAt = performance.now();
