--- a/test/restored-store.test.ts
+++ b/test/restored-store.test.ts
@@ -1,12 +1,10 @@
 /**
- * Seen: versions that were acknowledged were not in force seconds later, and requests on a route that had been
- * added got 404.
- * How it came about: the store had been away for a moment and came back from a copy some seconds old. Its
- * revisions had gone back, and were given out again.
- * Cause: revisions were compared as if a store never gave one out twice. Lists counted as lagging until the
- * store's counter had passed its old height, or, if it had passed that unseen, changes below it were never
- * asked for. Meanwhile each such list made the reader of a zone vouch for what it had held before.
- * Proof: with the store of these tests brought back as below, nodes stay behind for as long as that.
+ * Guards against nodes that stay behind when the store is restored from a copy: acknowledged
+ * versions were not in force seconds later, and requests on an added route got 404. The store was
+ * unavailable for a moment and came back with data some seconds old, so it issued the same
+ * revisions again. Nodes that compare only revisions treat lists as lagging until the store's
+ * counter has passed its old value. If it passed that value unseen, nodes never request the changes
+ * below it. Each such list also makes a zone's reader confirm its old data to its followers.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -15,22 +13,25 @@
 import { PlatformStore } from '../platform/store-client.js';
 import { NODE_KIND } from '../src/directory/directory-sync.js';
 
-/** A version is in force so many milliseconds after it was written. */
+/** A version must be in force this many milliseconds after its write. */
 const APPLY_MS = 2_000;
 
-/** Nodes have this time, in milliseconds, to be in touch again with a store that is back. */
+/** Nodes must have reconnected to a store that is back within this time, in milliseconds. */
 const CONTACT_MS = 3_000;
 
-/** Time in which the nodes' watches come to rest, in milliseconds. */
-const CALM_MS = 2_500;
+/** Time in which the nodes' watches settle, in milliseconds. */
+const SETTLE_MS = 2_500;
 
-/** The store is away for so long, in milliseconds. */
-const AWAY_MS = 600;
+/** The store is unavailable for this time, in milliseconds. */
+const UNAVAILABLE_MS = 600;
 
-/** An owner whose record is gone has been asked after this time, in milliseconds, and forgotten if it is away. */
-const FORGOTTEN_MS = 4_500;
+/**
+ * Within this time, in milliseconds, nodes have probed an owner whose record is gone, and have
+ * removed it if it did not answer.
+ */
+const REMOVAL_MS = 4_500;
 
-/** Changes that the store loses. */
+/** Number of changes that the store loses. */
 const LOST = 40;
 
 let mesh: SidecarMesh;
@@ -54,7 +55,7 @@
   return mesh.add('desk', { zone, applyMs: APPLY_MS, client: new PlatformStore(way.address) });
 }
 
-/** Machines, taken in turn by the zones, whose nodes reach the store over HTTP. */
+/** Adds machines to the zones in turn; their nodes reach the store over HTTP. */
 async function start(machines: number, zones: number): Promise<void> {
   for (let index = 0; index < machines; index += 1) {
     await add(`zone-${index % zones}`);
@@ -62,10 +63,10 @@
   configure();
   await mesh.settled();
   await inForce(1);
-  await delay(CALM_MS);
+  await delay(SETTLE_MS);
 }
 
-/** Adds a route with the version's number to those before it. */
+/** Writes a new version, which adds a route with its own number to the routes before. */
 function configure(): number {
   const names = Array.from({ length: mesh.version + 1 }, (_, index) => `added-${index + 1}`);
   return mesh.configure(names.map((name) => ({ name, service: 'desk' })));
@@ -77,52 +78,55 @@
 
 const inForce = (version: number) => waitFor(() => isInForce(version));
 
-/** What another system keeps in the store changes. */
-function change(times: number): void {
+/** Writes an object of another system this many times, so that the store's revision rises. */
+function changeOthers(times: number): void {
   for (let index = 0; index < times; index += 1) {
     mesh.store.put('others', 'counter', { index });
   }
 }
 
-function setAway(isAway: boolean): void {
+function setUnavailable(isUnavailable: boolean): void {
   for (const way of ways) {
-    way.view.failure = isAway ? 'unavailable' : undefined;
+    way.view.failure = isUnavailable ? 'unavailable' : undefined;
   }
   mesh.store.wake();
 }
 
-/** The store is away, and back as it was at that revision; `meanwhile` is written before any node sees it. */
-async function bringBack(revision: number, meanwhile: () => void = () => {}): Promise<void> {
-  setAway(true);
-  await delay(AWAY_MS);
+/**
+ * Makes the store unavailable, then restores it to that revision; `meanwhile` writes to it before
+ * any node reaches it.
+ */
+async function restoreStore(revision: number, meanwhile: () => void = () => {}): Promise<void> {
+  setUnavailable(true);
+  await delay(UNAVAILABLE_MS);
   mesh.store.restore(revision);
   meanwhile();
-  setAway(false);
+  setUnavailable(false);
 }
 
-/** Status of a request on a version's route at each node. */
+/** Status of a request on the version's route at each node. */
 async function statuses(version: number): Promise<number[]> {
-  const asked = mesh.machines.map(({ node }) =>
+  const responses = mesh.machines.map(({ node }) =>
     call(node.addresses.clients, `/added-${version}/1`, { deadlineMs: 1_000 }),
   );
-  return (await Promise.all(asked)).map(({ status }) => status);
+  return (await Promise.all(responses)).map(({ status }) => status);
 }
 
 const all = (status: number) => mesh.machines.map(() => status);
 
-describe('a store that comes back from a copy', () => {
+describe('a store that is restored from a copy', () => {
   it.each([
     { machines: 4, zones: 4, writtenAfterMs: 100 },
     { machines: 6, zones: 2, writtenAfterMs: 100 },
     { machines: 6, zones: 2, writtenAfterMs: CONTACT_MS },
   ])(
-    'keeps none of $machines nodes in $zones zones from a change $writtenAfterMs ms later',
+    'delays a change $writtenAfterMs ms later on none of $machines nodes in $zones zones',
     async ({ machines, zones, writtenAfterMs }) => {
       await start(machines, zones);
       const copied = mesh.store.revision;
-      change(LOST);
-      await delay(CALM_MS);
-      await bringBack(copied);
+      changeOthers(LOST);
+      await delay(SETTLE_MS);
+      await restoreStore(copied);
       await delay(writtenAfterMs);
       const version = configure();
       await delay(Math.max(APPLY_MS, CONTACT_MS - writtenAfterMs));
@@ -131,61 +135,61 @@
     },
   );
 
-  it('hides no change below the height that its counter had before', async () => {
+  it('hides no change below the old value of its revision counter', async () => {
     await start(6, 2);
     const copied = mesh.store.revision;
-    change(LOST);
-    await delay(CALM_MS);
+    changeOthers(LOST);
+    await delay(SETTLE_MS);
     let version = 0;
-    await bringBack(copied, () => {
+    await restoreStore(copied, () => {
       version = configure();
-      change(2 * LOST);
+      changeOthers(2 * LOST);
     });
     await delay(CONTACT_MS);
     expect(mesh.machines.map(({ node }) => node.status.version)).toEqual(all(version));
     expect(await statuses(version)).toEqual(all(200));
   });
 
-  it('takes no node back to the version that it holds, nor one that starts meanwhile', async () => {
+  it('returns no node to its older version, nor a node that restarts afterwards', async () => {
     await start(6, 2);
     const copied = mesh.store.revision;
     const version = configure();
     await inForce(version);
-    await bringBack(copied);
+    await restoreStore(copied);
     await delay(CONTACT_MS);
     const restarted = mesh.machines.slice(0, 3);
-    const began: number[] = [];
+    const firstVersions: number[] = [];
     for (const machine of restarted) {
       await machine.restart();
-      began.push(await firstVersion(machine));
+      firstVersions.push(await firstVersion(machine));
     }
-    expect(began).toEqual(restarted.map(() => version));
+    expect(firstVersions).toEqual(restarted.map(() => version));
     expect(await statuses(version)).toEqual(all(200));
   });
 });
 
-describe('the records of nodes, when the store comes back from a copy', () => {
+describe('the records of nodes when the store is restored from a copy', () => {
   const recorded = () => [...mesh.store.kind(NODE_KIND).keys()].sort();
   const names = () => mesh.machines.map(({ name }) => name).sort();
-  const known = (machines: readonly Machine[]) =>
+  const ownerCounts = (machines: readonly Machine[]) =>
     machines.map(({ node }) => node.status.ownersPresent + node.status.ownersAbsent);
 
-  it('are there again within two seconds, and no node is forgotten meanwhile', async () => {
+  it('are written again within two seconds, and no node is forgotten meanwhile', async () => {
     await start(5, 2);
     await waitFor(() => recorded().length === 5);
     const copied = mesh.store.revision;
     const joined = await add('zone-1');
     await mesh.settled();
-    await delay(CALM_MS);
-    await bringBack(copied);
+    await delay(SETTLE_MS);
+    await restoreStore(copied);
     expect(recorded()).not.toContain(joined.name);
     await waitFor(() => recorded().includes(joined.name));
-    await delay(FORGOTTEN_MS);
+    await delay(REMOVAL_MS);
     expect(recorded()).toEqual(names());
-    expect(known(mesh.machines)).toEqual(all(6));
+    expect(ownerCounts(mesh.machines)).toEqual(all(6));
   });
 
-  it('stay gone where their nodes have left, for the others too', async () => {
+  it('are removed again if their nodes have left, and no other node uses them', async () => {
     await start(5, 2);
     const copied = mesh.store.revision;
     const [leaving, ...staying] = mesh.machines as [Machine, ...Machine[]];
@@ -193,18 +197,18 @@
     await leaving.application.heartbeat(leaving.node.addresses.registrations);
     await leaving.node.stop();
     await waitFor(() => !recorded().includes(leaving.name));
-    await delay(FORGOTTEN_MS);
-    expect(known(staying)).toEqual(staying.map(() => 4));
+    await delay(REMOVAL_MS);
+    expect(ownerCounts(staying)).toEqual(staying.map(() => 4));
     mesh.machines.splice(0, 1);
-    await bringBack(copied);
+    await restoreStore(copied);
     expect(recorded()).toContain(leaving.name);
-    const most: number[] = [];
-    const until = performance.now() + FORGOTTEN_MS;
+    const counts: number[] = [];
+    const until = performance.now() + REMOVAL_MS;
     while (performance.now() < until) {
-      most.push(Math.max(...known(staying)));
+      counts.push(Math.max(...ownerCounts(staying)));
       await delay(50);
     }
-    expect(Math.max(...most)).toBe(4);
+    expect(Math.max(...counts)).toBe(4);
     expect(recorded()).toEqual(names());
   });
 });
--- a/test/sidecar-membership.test.ts
+++ b/test/sidecar-membership.test.ts
@@ -1,4 +1,7 @@
-/** Drains, stops, restarts and store trouble among sidecars. */
+/**
+ * Drains, planned stops, restarts and store failures among sidecars: clients must be served
+ * meanwhile, no back end that has left may get work, and no unsafe request may run twice.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 
@@ -12,10 +15,10 @@
   mesh.close();
 });
 
-/** After this time of a grace of four seconds nothing new may be taken. */
+/** By this time in a grace of four seconds a node accepts no new request, in milliseconds. */
 const LATE_IN_GRACE_MS = 2_600;
 
-/** Well below the pause between two health questions, in milliseconds. */
+/** Well below the interval between two health checks, in milliseconds. */
 const SOON_MS = 400;
 
 const ROUTES = [
@@ -24,7 +27,7 @@
   { name: 'other', service: 'vault' },
 ] as const;
 
-/** The entry reads the store by itself when it is alone in its zone. */
+/** Starts three machines. If the entry is alone in its zone, it reads the store directly. */
 async function threeMachines(entryZone = 'zone-a'): Promise<[Machine, Machine, Machine]> {
   const first = await mesh.add('desk');
   const second = await mesh.add('desk');
@@ -34,22 +37,25 @@
   return [first, second, entry];
 }
 
-/** The node by way of which a machine reads the store, as its last line about it says. */
+/**
+ * The reader through which a machine reads the store, by its last log line on that. Undefined if
+ * none.
+ */
 function readerOf({ lines }: Machine): unknown {
   return lines.findLast(({ event }) => event === 'zone-reader')?.reader;
 }
 
 /** Sends requests one after the other and returns their statuses. */
 async function statuses(machine: Machine, count: number): Promise<number[]> {
-  const found: number[] = [];
+  const codes: number[] = [];
   for (let index = 0; index < count; index += 1) {
-    found.push((await call(machine.node.addresses.clients, `/read/${index}`)).status);
+    codes.push((await call(machine.node.addresses.clients, `/read/${index}`)).status);
   }
-  return found;
+  return codes;
 }
 
 describe('a back end that leaves', () => {
-  it('gets no new work once its drain is acknowledged, and the other serves on', async () => {
+  it('gets no new work once its drain is acknowledged, while the other back end serves', async () => {
     const [first, second, entry] = await threeMachines();
     first.application.draining = true;
     expect(await first.application.heartbeat(first.node.addresses.registrations)).toBe(200);
@@ -59,7 +65,7 @@
     expect(second.application.runs.length).toBeGreaterThanOrEqual(20);
   });
 
-  it('stays fenced after it deregistered, even when its node starts again and an old heartbeat comes', async () => {
+  it('stays fenced after it deregistered, also when its node restarts and receives an old heartbeat', async () => {
     const [first, , entry] = await threeMachines();
     expect(await first.application.deregister(first.node.addresses.registrations)).toBe(200);
     first.application.draining = true;
@@ -72,7 +78,7 @@
 });
 
 describe('a back end that changes its slots', () => {
-  it('keeps the connections of what it runs', async () => {
+  it('keeps the connections of requests in flight', async () => {
     const [first, second, entry] = await threeMachines();
     first.application.serviceMs = 800;
     second.application.serviceMs = 800;
@@ -88,7 +94,7 @@
 });
 
 describe('a node that ends', () => {
-  it('asks the back end beside it as soon as it has a configuration again', async () => {
+  it('checks its back end as soon as it has a configuration after its restart', async () => {
     const [first] = await threeMachines();
     await first.restart();
     const from = performance.now();
@@ -97,7 +103,7 @@
     expect(performance.now() - from).toBeLessThan(SOON_MS);
   });
 
-  it('is left alone by the others until it is back', async () => {
+  it('gets no tasks from the others until it is back', async () => {
     const [first, second, entry] = await threeMachines();
     first.node.close();
     expect(new Set(await statuses(entry, 10))).toEqual(new Set([200]));
@@ -110,7 +116,7 @@
     });
   });
 
-  it('cuts an unsafe request that runs into an unknown outcome, not into a second run', async () => {
+  it('leaves an unsafe request in flight with an unknown outcome, and the request does not run again', async () => {
     const [first, second, entry] = await threeMachines();
     first.application.serviceMs = 1_000;
     second.application.serviceMs = 1_000;
@@ -140,7 +146,7 @@
 });
 
 describe('a planned stop with work that outlasts the grace', () => {
-  it('takes no request late that it would have to give up', async () => {
+  it('accepts no request late in its grace that it would have to abort', async () => {
     const [first, second, entry] = await threeMachines();
     first.application.serviceMs = 10_000;
     second.application.serviceMs = 10_000;
@@ -156,7 +162,7 @@
 });
 
 describe('a planned stop with a long grace', () => {
-  it('refuses, from three seconds on, what may outlast it, and serves the rest', async () => {
+  it('refuses, from three seconds on, requests that may outlast it, and serves shorter ones', async () => {
     const entry = await mesh.add('desk', { graceMs: 8_000 });
     mesh.configure([{ name: 'read', service: 'desk' }]);
     await mesh.settled();
@@ -178,8 +184,8 @@
   });
 });
 
-describe('the store in trouble', () => {
-  it('refuses truthfully at a start without the store and serves once it is there', async () => {
+describe('nodes during store failures', () => {
+  it('answer 503 when started without the store, and serve once it is available', async () => {
     const machine = await mesh.add('desk');
     machine.view.failure = 'unavailable';
     mesh.store.wake();
@@ -192,7 +198,7 @@
     expect((await call(machine.node.addresses.clients, '/read/2')).status).toBe(200);
   });
 
-  it('keeps serving without the store, and a node that it drops follows through the others', async () => {
+  it('keep serving, and a node that loses the store alone gets new versions from the others', async () => {
     const [, , entry] = await threeMachines('zone-b');
     entry.view.failure = 'unavailable';
     mesh.store.wake();
@@ -206,7 +212,7 @@
     expect((await call(entry.node.addresses.clients, '/added/1')).status).toBe(200);
   });
 
-  it('hears nothing of it while its reader has the store', async () => {
+  it('follow new versions without their own access to the store while their reader reaches it', async () => {
     const machines = await threeMachines();
     const isFollower = (machine: Machine) => readerOf(machine) !== undefined;
     await waitFor(() => machines.filter(isFollower).length === 2);
@@ -218,7 +224,7 @@
     expect((await call(follower.node.addresses.clients, '/added/1')).status).toBe(200);
   });
 
-  it('joins through the others when it starts again and the store drops it alone', async () => {
+  it('join through the others after a restart without the store', async () => {
     const [first, , entry] = await threeMachines();
     const restarted = entry.restart();
     entry.view.failure = 'unavailable';
@@ -229,14 +235,14 @@
     });
     expect(entry.node.status.storeConnected).toBe(false);
     expect(new Set(await statuses(entry, 10))).toEqual(new Set([200]));
-    // Once the store is back, its list decides again.
+    // Once the store is available again, its list is authoritative.
     mesh.store.delete('spindlepaddle-nodes', first.name);
     entry.view.failure = undefined;
     await waitFor(() => entry.node.status.storeConnected);
     await waitFor(() => mesh.store.kind('spindlepaddle-nodes').has(first.name));
   });
 
-  it('keeps owners that live though their records lapsed, and forgets one that does not', async () => {
+  it('keep owners that respond although their records lapsed, and remove one that does not respond', async () => {
     const [first, second, entry] = await threeMachines();
     for (const { view } of mesh.machines) {
       view.failure = 'unavailable';
@@ -246,7 +252,7 @@
     for (const { name } of mesh.machines) {
       mesh.store.delete('spindlepaddle-nodes', name);
     }
-    // The store returns to the entry alone, which then finds no record of the others.
+    // The store becomes available to the entry alone, which then finds no records of the others.
     entry.view.failure = undefined;
     await waitFor(() => mesh.store.kind('spindlepaddle-nodes').has(entry.name));
     second.node.close();
@@ -259,14 +265,14 @@
     await waitFor(() => mesh.store.kind('spindlepaddle-nodes').has(first.name));
   });
 
-  it('follows changes after the history is gone', async () => {
+  it('follow changes after the history is lost', async () => {
     const [first] = await threeMachines();
     mesh.store.compact();
     const version = mesh.configure([...ROUTES, { name: 'added', service: 'desk' }]);
     await waitFor(() => first.node.status.version === version);
   });
 
-  it('finds the own record although the answer to its write was lost', async () => {
+  it('find their own record although the answer to its write was lost', async () => {
     const machine = await mesh.add('desk');
     machine.node.close();
     mesh.store.delete('spindlepaddle-nodes', machine.name);
--- a/test/silent-connections.test.ts
+++ b/test/silent-connections.test.ts
@@ -1,12 +1,9 @@
 /**
- * Seen: seconds after a change of the configuration was acknowledged, nodes of all zones still handled
- * requests as the version before says, while operators reached the store at once.
- * How it came about: the connections that stood between the nodes and the store had gone silent, with
- * no reset; new ones worked. A watch waited to the end of its time, and the next one went out on
- * another connection of the pool, as silent as the first.
- * Cause: nothing but the end of its own time showed that a watch was dead, and what one call had found
- * out was not used by the next.
- * Proof: with every open connection silenced as below, nodes stayed behind for as long as that.
+ * Guards against nodes that stay behind when their open connections go silent without a reset,
+ * while new connections work. Only the timeout of a watch showed that its connection was dead, and
+ * the next watch went out on another silent connection of the pool, because a call did not use the
+ * finding of an earlier one. Seconds after a change was acknowledged, nodes of all zones still
+ * applied the version before it, while operators reached the store at once.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -16,21 +13,23 @@
 import { openStoreWay, type StoreWay } from '../lab/storeServer.js';
 import { PlatformStore } from '../platform/store-client.js';
 
-/** A version is in force so many milliseconds after it was written. */
+/** A version must be in force this many milliseconds after its write. */
 const APPLY_MS = 2_000;
 
-/** A node whose connections were lost has this time, in milliseconds, to be in touch again. */
+/**
+ * A node must have reconnected within this time after the loss of its connections, in milliseconds.
+ */
 const CONTACT_MS = 3_000;
 
-/** Time in which watches, proofs and tasks fill their pools of connections, in milliseconds. */
-const CALM_MS = 2_500;
+/** Time in which watches, probes and tasks fill their connection pools, in milliseconds. */
+const SETTLE_MS = 2_500;
 
 const ROUNDS = 2;
 
-/** Connections to the store that a node has in its pool. */
+/** Number of connections to the store in a node's pool. */
 const POOLED = 4;
 
-enum Struck {
+enum Silenced {
   Store = 'the store',
   HalfOfStore = 'the store, one in two',
   All = 'the store and nodes',
@@ -56,7 +55,7 @@
   connections.stop();
 });
 
-/** Machines, taken in turn by the zones, whose nodes reach the store over HTTP. */
+/** Adds machines to the zones in turn; their nodes reach the store over HTTP. */
 async function start(machines: number, zones: number): Promise<void> {
   for (let index = 0; index < machines; index += 1) {
     const way = await openStoreWay(mesh.store);
@@ -76,33 +75,35 @@
   ]);
 }
 
-/** Milliseconds from now until every node has the version in force. */
+/** Waits until every node has the version in force; returns the milliseconds until then. */
 async function inForceMs(version: number): Promise<number> {
   const from = performance.now();
   await waitFor(() => mesh.machines.every(({ node }) => node.status.version >= version));
   return performance.now() - from;
 }
 
-/** Milliseconds from a write until it must be in force: in time, and once the node is in touch. */
+/**
+ * Upper limit of the milliseconds from a write until it is in force, including the reconnection.
+ */
 function boundMs(writtenAfterMs: number): number {
   return Math.max(APPLY_MS, CONTACT_MS - writtenAfterMs);
 }
 
 const toStore = (port: number) => ways.some(({ address }) => address.endsWith(`:${port}`));
 
-let drawn = 0;
+let checked = 0;
 
-/** Which connections go silent, by the port they lead to. */
-const STRUCK: Readonly<Record<Struck, (port: number) => boolean>> = {
-  [Struck.Store]: toStore,
-  [Struck.HalfOfStore]: (port) => {
-    drawn += 1;
-    return toStore(port) && drawn % 2 === 0;
+/** Selects the connections that go silent, by their remote port. */
+const SILENCED: Readonly<Record<Silenced, (port: number) => boolean>> = {
+  [Silenced.Store]: toStore,
+  [Silenced.HalfOfStore]: (port) => {
+    checked += 1;
+    return toStore(port) && checked % 2 === 0;
   },
-  [Struck.All]: () => true,
+  [Silenced.All]: () => true,
 };
 
-/** Calls at the same time leave as many connections in the pool. */
+/** Sends `POOLED` calls per node at once, which leave as many connections in its pool. */
 async function fillPools(): Promise<void> {
   const calls = clients.flatMap((client) =>
     Array.from({ length: POOLED }, () => client.get(CONFIGURATION_KIND, CONFIGURATION_NAME)),
@@ -111,26 +112,26 @@
 }
 
 describe('connections that go silent for good while new ones work', () => {
-  for (const { machines, zones, struck, writtenAfterMs } of [
-    { machines: 4, zones: 4, struck: Struck.Store, writtenAfterMs: 0 },
-    { machines: 4, zones: 4, struck: Struck.Store, writtenAfterMs: 1_500 },
-    { machines: 12, zones: 4, struck: Struck.Store, writtenAfterMs: 3_100 },
-    { machines: 12, zones: 4, struck: Struck.HalfOfStore, writtenAfterMs: 1_500 },
-    { machines: 12, zones: 4, struck: Struck.All, writtenAfterMs: 0 },
-    { machines: 12, zones: 4, struck: Struck.All, writtenAfterMs: 1_500 },
-    { machines: 12, zones: 4, struck: Struck.All, writtenAfterMs: 3_100 },
+  for (const { machines, zones, silenced, writtenAfterMs } of [
+    { machines: 4, zones: 4, silenced: Silenced.Store, writtenAfterMs: 0 },
+    { machines: 4, zones: 4, silenced: Silenced.Store, writtenAfterMs: 1_500 },
+    { machines: 12, zones: 4, silenced: Silenced.Store, writtenAfterMs: 3_100 },
+    { machines: 12, zones: 4, silenced: Silenced.HalfOfStore, writtenAfterMs: 1_500 },
+    { machines: 12, zones: 4, silenced: Silenced.All, writtenAfterMs: 0 },
+    { machines: 12, zones: 4, silenced: Silenced.All, writtenAfterMs: 1_500 },
+    { machines: 12, zones: 4, silenced: Silenced.All, writtenAfterMs: 3_100 },
   ]) {
-    it(`keep none of ${machines} nodes in ${zones} zones behind: to ${struck}, a change ${writtenAfterMs} ms later`, async () => {
+    it(`to ${silenced} delay a change ${writtenAfterMs} ms later on none of ${machines} nodes in ${zones} zones`, async () => {
       await start(machines, zones);
-      const took: number[] = [];
+      const tookMs: number[] = [];
       for (let round = 0; round < ROUNDS; round += 1) {
         await fillPools();
-        await delay(CALM_MS);
-        connections.silence(STRUCK[struck]);
+        await delay(SETTLE_MS);
+        connections.silence(SILENCED[silenced]);
         await delay(writtenAfterMs);
-        took.push(await inForceMs(change()));
+        tookMs.push(await inForceMs(change()));
       }
-      expect(Math.max(...took), `ms in each round: ${took.map(Math.round)}`).toBeLessThan(
+      expect(Math.max(...tookMs), `ms in each round: ${tookMs.map(Math.round)}`).toBeLessThan(
         boundMs(writtenAfterMs),
       );
     });
--- a/test/store-trouble.test.ts
+++ b/test/store-trouble.test.ts
@@ -1,4 +1,7 @@
-/** A store that throttles, answers late or lags, and what a node believes after it. */
+/**
+ * A store that throttles, writes late or returns lagging lists: nodes must back off, keep one
+ * record each, answer 404 only while their data is fresh, and never return to older data.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 
@@ -15,19 +18,19 @@
 const NODES = 'spindlepaddle-nodes';
 const ROUTES = [{ name: 'read', service: 'desk' }];
 
-/** Time in which a throttled node is watched, in milliseconds. */
-const WATCHED_MS = 3_000;
+/** Time over which the calls of a throttled node are counted, in milliseconds. */
+const COUNTED_MS = 3_000;
 
 describe('a store that throttles', () => {
-  it('is asked less and less, and serves the node once it has room', async () => {
+  it('gets calls at growing intervals, and serves the node once it no longer throttles', async () => {
     const machine = await mesh.add('desk');
     mesh.configure(ROUTES);
     await mesh.settled();
     machine.view.callsPerSecond = 0;
     mesh.store.wake();
     const before = machine.view.calls;
-    await new Promise((resolve) => setTimeout(resolve, WATCHED_MS));
-    // Three kinds are followed; each call that fails doubles the wait, from 0.15 s on.
+    await new Promise((resolve) => setTimeout(resolve, COUNTED_MS));
+    // The node follows three kinds; each call that fails doubles the backoff, from 0.15 s on.
     expect(machine.view.calls - before).toBeLessThanOrEqual(16);
     expect((await call(machine.node.addresses.clients, '/read/1')).status).toBe(200);
     machine.view.callsPerSecond = Number.POSITIVE_INFINITY;
@@ -37,7 +40,7 @@
 });
 
 describe('a write that is carried out late', () => {
-  it('leaves one record of the node that others can use', async () => {
+  it('leaves one record of the node, with its address', async () => {
     const machine = await mesh.add('desk');
     mesh.configure(ROUTES);
     await mesh.settled();
@@ -56,7 +59,7 @@
 });
 
 describe('a route that a node lacks', () => {
-  it('is refused for a moment while the node may be behind, and told as none when it is not', async () => {
+  it('gets 503 while the node may be behind, and 404 while it is not', async () => {
     const machine = await mesh.add('desk');
     mesh.configure(ROUTES);
     await mesh.settled();
@@ -75,18 +78,19 @@
 });
 
 describe('a list that lags', () => {
-  it('takes nothing back that the node has seen', async () => {
+  it('replaces no newer data that the node has received', async () => {
     const machine = await mesh.add('desk');
     mesh.configure(ROUTES);
     await mesh.settled();
     const old = mesh.store.revision;
-    // In a zone of its own, so that each of the two reads the store itself.
+    // The second node is in its own zone, so that both read the store directly.
     const other = await mesh.add('desk', { zone: 'zone-b' });
     const version = mesh.configure([...ROUTES, { name: 'added', service: 'desk' }]);
     await waitFor(() => machine.node.status.version === version);
     await waitFor(() => machine.node.status.ownersPresent === 2);
     machine.view.listsAsOf = old;
-    // A change whose history is gone at once: the watch ends with 410, and a list that lags follows.
+    // The history is lost right after the change: the watch ends with 410, then a lagging list
+    // follows.
     mesh.configure([...ROUTES, { name: 'added', service: 'desk' }]);
     mesh.store.compact();
     await waitFor(() => !machine.node.status.storeConnected);
--- a/test/suspended-machine.test.ts
+++ b/test/suspended-machine.test.ts
@@ -1,21 +1,23 @@
 /**
- * Seen: not by users yet; they announced that a machine may be suspended for seconds.
- * How it comes about: the steady clock does not count the time asleep. After waking, the fence of a back
- * end that left long ago stands open, what the store said seems fresh, and requests are held whose
- * clients have given up.
- * Cause: every age and deadline came from the steady clock alone.
- * Proof: nodes whose steady clock stands still while the other clocks move on, as below.
+ * Guards against wrong ages and deadlines after a machine was suspended for some seconds. The
+ * steady clock does not count the time of a suspension. If every age and deadline came from it
+ * alone, then after the resume a node would still send to a back end that left long ago, treat old
+ * store data as fresh, and hold requests whose clients have given up. In these tests a node's
+ * steady clock stands still while the other clocks advance.
  */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 
-const ASLEEP_MS = 10_000;
+/** Length of the suspension, in milliseconds. */
+const SUSPENDED_MS = 10_000;
 
-/** Time until the clock that counts from the start of the machine has proved itself, in milliseconds. */
-const PROVEN_MS = 6_500;
+/**
+ * Time until a node relies on the clock that counts from the start of the machine, in milliseconds.
+ */
+const CLOCK_TRUSTED_MS = 6_500;
 
-/** What a node finds out at once, it finds out within this time, in milliseconds. */
+/** Upper limit for an immediate reaction of a node, in milliseconds. */
 const SOON_MS = 400;
 
 let mesh: SidecarMesh;
@@ -30,39 +32,39 @@
 
 afterEach(() => mesh.close());
 
-const ask = (path: string) => call(machine.node.addresses.clients, path, { deadlineMs: 5_000 });
+const send = (path: string) => call(machine.node.addresses.clients, path, { deadlineMs: 5_000 });
 
 describe('a machine that was suspended', () => {
-  it('sends nothing more to a back end that left before', async () => {
+  it('sends nothing more to a back end that drained before the suspension', async () => {
     machine.application.serviceMs = 300;
-    const running = ask('/read/1');
+    const running = send('/read/1');
     await waitFor(() => machine.application.running === 1);
-    const waiting = ask('/read/2');
+    const waiting = send('/read/2');
     await delay(20);
     machine.application.draining = true;
     expect(await machine.application.heartbeat(machine.node.addresses.registrations)).toBe(200);
-    machine.suspend(ASLEEP_MS);
+    machine.suspend(SUSPENDED_MS);
     await Promise.all([running, waiting]);
     expect(machine.application.runs.map(({ target }) => target)).toEqual(['/read/1']);
   });
 
-  it('does not say that a route does not exist before the store has been heard again', async () => {
+  it('answers 503 rather than 404 for an unknown route until the store has responded again', async () => {
     machine.view.failure = 'unavailable';
-    expect((await ask('/added/1')).status).toBe(404);
-    machine.suspend(ASLEEP_MS);
-    expect((await ask('/added/1')).status).toBe(503);
+    expect((await send('/added/1')).status).toBe(404);
+    machine.suspend(SUSPENDED_MS);
+    expect((await send('/added/1')).status).toBe(503);
     machine.view.failure = undefined;
-    await waitFor(async () => (await ask('/added/1')).status === 404);
+    await waitFor(async () => (await send('/added/1')).status === 404);
   });
 
-  it('ends requests at once whose time has passed', async () => {
-    await delay(PROVEN_MS);
+  it('answers requests at once whose deadline has passed', async () => {
+    await delay(CLOCK_TRUSTED_MS);
     machine.application.behaviours.push('stay-silent');
-    const held = ask('/read/1');
+    const held = send('/read/1');
     await waitFor(() => machine.application.runs.length === 1);
-    const wokenAt = performance.now();
-    machine.suspend(ASLEEP_MS);
+    const resumedAt = performance.now();
+    machine.suspend(SUSPENDED_MS);
     expect((await held).status).toBe(504);
-    expect(performance.now() - wokenAt).toBeLessThan(SOON_MS);
+    expect(performance.now() - resumedAt).toBeLessThan(SOON_MS);
   });
 });
--- a/test/zone-relay.test.ts
+++ b/test/zone-relay.test.ts
@@ -1,10 +1,13 @@
-/** A zone whose nodes read the store by way of a few: its calls, and the loss of a reader. */
+/**
+ * A zone whose followers read the store through one reader: only the reader may call the store, and
+ * the followers must have new versions in force in time when the reader ends or loses the store.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 
 const ZONE_SIZE = 7;
 
-/** Configurations come into force within this time, in milliseconds; the mesh's own setting. */
+/** Configurations must come into force within this time, in milliseconds, by the mesh's setting. */
 const APPLY_MS = 1_000;
 
 let mesh: SidecarMesh;
@@ -14,7 +17,7 @@
   await Promise.all(Array.from({ length: ZONE_SIZE }, () => mesh.add('desk')));
   configure();
   await mesh.settled();
-  // Each follower has found its reader.
+  // All nodes but the reader have become followers.
   await waitFor(() => followers().length === ZONE_SIZE - 1);
 });
 
@@ -27,7 +30,7 @@
   return mesh.configure([{ name: 'read', service: 'desk' }, added]);
 }
 
-/** Machines that read by way of another one, as their last line about it says. */
+/** Machines that read through another one, by their last log line on that. */
 function followers(): Machine[] {
   return mesh.machines.filter((machine) => readerOf(machine) !== undefined);
 }
@@ -36,7 +39,7 @@
   return machine.lines.findLast(({ event }) => event === 'zone-reader')?.reader;
 }
 
-function theReader(): Machine {
+function readerMachine(): Machine {
   const name = readerOf(followers()[0] as Machine);
   return mesh.machines.find((machine) => machine.name === name) as Machine;
 }
@@ -48,48 +51,49 @@
 }
 
 describe('a zone with a reader', () => {
-  it('costs the store the calls of one node, not of all', async () => {
+  it('calls the store only from its reader', async () => {
     const before = mesh.machines.map((machine) => machine.view.calls);
     for (let change = 0; change < 5; change += 1) {
       expect(await inForceMs(configure(), mesh.machines)).toBeLessThan(APPLY_MS);
     }
     const calls = mesh.machines.map((machine, index) => machine.view.calls - (before[index] ?? 0));
-    const reader = theReader();
+    const reader = readerMachine();
     for (const [index, machine] of mesh.machines.entries()) {
       expect(calls[index], machine.name).toBeLessThanOrEqual(machine === reader ? 20 : 0);
     }
   });
 
-  it('has a version in force in time when the store turns its reader away', async () => {
-    const reader = theReader();
+  it('has a version in force in time when the store is unavailable to its reader', async () => {
+    const reader = readerMachine();
     const others = mesh.machines.filter((machine) => machine !== reader);
     reader.view.failure = 'unavailable';
     mesh.store.wake();
     expect(await inForceMs(configure(), others)).toBeLessThan(APPLY_MS);
   });
 
-  it('has a version in force in time when its reader hears nothing of the store', async () => {
-    const reader = theReader();
+  it('has a version in force in time when the store does not answer its reader', async () => {
+    const reader = readerMachine();
     const others = mesh.machines.filter((machine) => machine !== reader);
     reader.view.watch = () => new Promise(() => {});
     reader.view.list = () => new Promise(() => {});
     reader.view.probe = () => new Promise(() => {});
-    // The call that was waiting when the way was cut ends with the way.
+    // Ends the watch that is pending; the calls after it are never answered.
     mesh.store.wake();
     expect(await inForceMs(configure(), others)).toBeLessThan(APPLY_MS);
   });
 
   it('has a version in force in time when its reader ends', async () => {
-    const reader = theReader();
+    const reader = readerMachine();
     const others = mesh.machines.filter((machine) => machine !== reader);
     reader.node.close();
     expect(await inForceMs(configure(), others)).toBeLessThan(APPLY_MS);
     expect((await call((others[0] as Machine).node.addresses.clients, '/read/1')).status).toBe(200);
   });
 
-  it('comes through a loss of history with one list', async () => {
-    const reader = theReader();
-    // Watches from the start, when no node knew its zone, end with this one.
+  it('handles a loss of history with one list', async () => {
+    const reader = readerMachine();
+    // This ends the watches that nodes opened at the start, before they had the nodes of their
+    // zone.
     mesh.store.compact();
     expect(await inForceMs(configure(), mesh.machines)).toBeLessThan(APPLY_MS);
     const before = mesh.machines.map((machine) => machine.view.calls);
