--- a/test/pipelining.test.ts
+++ b/test/pipelining.test.ts
@@ -1,4 +1,8 @@
-/** Clients that send requests before the ones ahead of them are answered. */
+/**
+ * Pipelining clients, which send requests before the earlier ones are answered: each request that
+ * ran is answered, in order, also when the node stops or the client sends something that is not a
+ * request.
+ */
 import net from 'node:net';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
@@ -27,7 +31,7 @@
   return `GET /read/${id} HTTP/1.1\r\nHost: mesh.example\r\nx-request-id: ${id}\r\n\r\n`;
 }
 
-/** Sends the text and collects what comes back until the connection ends. */
+/** Sends the text and collects the bytes received until the connection ends. */
 function exchange(address: string, text: string) {
   const separator = address.lastIndexOf(':');
   const socket = net.connect({
@@ -60,7 +64,7 @@
     socket.destroy();
   });
 
-  it('loses no request that a planned stop finds under way', async () => {
+  it('gets an answer to each request in flight at a planned stop', async () => {
     const machine = await oneMachine();
     machine.application.serviceMs = 300;
     const text = ['a', 'b'].map(requestText).join('');
@@ -72,7 +76,7 @@
     await stopped;
   });
 
-  it('that never lets its connection rest is cut off by a stop behind its last answer', async () => {
+  it('that never pauses is disconnected by a planned stop after the last answer that is due', async () => {
     const owner = await mesh.add('desk', { slots: 20 });
     const machine = await mesh.add('vault');
     mesh.configure([
@@ -97,7 +101,7 @@
     await stopped;
   });
 
-  it('gets the answers that are due before what is no request is refused', async () => {
+  it('gets the answers that are due before the 400 for text that is not a request', async () => {
     const machine = await oneMachine();
     machine.application.serviceMs = 200;
     const text = `${requestText('a')}no request at all\r\n\r\n`;
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -1,11 +1,15 @@
-/** What nodes know of a request that crashes back ends, and from whom, and how it comes to be served again. */
+/**
+ * Quarantine of requests that crash back ends. A client that repeats such a request could crash one
+ * back end after another. Nodes learn of a quarantine from announcements and from records in the
+ * store, also after a restart; the request runs again when an operator removes its record.
+ */
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { call, type Machine, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
 import { CRASH_KIND, type CrashRecord } from '../src/directory/crashRecord.js';
 
-/** A node tells the others what it has found out well within this time, in milliseconds. */
-const TOLD_MS = 300;
+/** Announcements reach all nodes well within this time, in milliseconds. */
+const ANNOUNCED_MS = 300;
 
 const PATH = '/read/crash';
 const MACHINES = 6;
@@ -32,7 +36,7 @@
 
 afterEach(() => mesh.close());
 
-function askAt(machine: Machine | undefined, path = PATH) {
+function sendTo(machine: Machine | undefined, path = PATH) {
   const { clients } = (machine as Machine).node.addresses;
   return call(clients, path, { deadlineMs: 1_500 });
 }
@@ -45,14 +49,14 @@
   `${status} ${(JSON.parse(body) as { error: string }).error}`;
 
 /** Sends the request until it is refused; the entry's service is `desk`. */
-async function convict(entry = mesh.machines[1]): Promise<void> {
+async function sendUntilQuarantined(entry = mesh.machines[1]): Promise<void> {
   await waitFor(async () => {
-    const { status, body } = await askAt(entry);
+    const { status, body } = await sendTo(entry);
     return status === 503 && body.includes('quarantined');
   });
 }
 
-/** Names of the records of crashes that prove a quarantine. */
+/** Names of the crash records that list a quarantined request. */
 function storedNames(): string[] {
   const records = [...mesh.store.kind(CRASH_KIND).values()];
   return records.flatMap(({ name, spec }) =>
@@ -62,11 +66,11 @@
 
 describe('a request that has crashed a back end alone', () => {
   it('is refused by every node at once, with the time until it may run again', async () => {
-    await convict();
-    await delay(TOLD_MS);
+    await sendUntilQuarantined();
+    await delay(ANNOUNCED_MS);
     const before = crashes();
     for (const machine of mesh.machines.slice(1)) {
-      const answer = await askAt(machine);
+      const answer = await sendTo(machine);
       expect(refusalOf(answer)).toBe('503 quarantined');
       expect(Number(answer.headers['retry-after'])).toBeGreaterThan(590);
       expect(answer.tookMs).toBeLessThan(100);
@@ -78,14 +82,14 @@
     expect(events.filter(({ event }) => event === 'crash')).toHaveLength(before);
   });
 
-  it('is told to nodes while the store is away, and written there once it is back', async () => {
+  it('is announced to all nodes while the store is unavailable, and recorded there once it is back', async () => {
     for (const { view } of mesh.machines) {
       view.failure = 'unavailable';
     }
-    await convict();
-    await delay(TOLD_MS);
+    await sendUntilQuarantined();
+    await delay(ANNOUNCED_MS);
     for (const machine of mesh.machines.slice(1)) {
-      expect(refusalOf(await askAt(machine))).toBe('503 quarantined');
+      expect(refusalOf(await sendTo(machine))).toBe('503 quarantined');
     }
     expect(storedNames()).toEqual([]);
     for (const { view } of mesh.machines) {
@@ -94,50 +98,50 @@
     await waitFor(() => storedNames().length === 1);
   });
 
-  it('stays known when all nodes are started anew', async () => {
-    await convict();
+  it('stays quarantined when all nodes restart', async () => {
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     const before = crashes();
     await Promise.all(mesh.machines.map((machine) => machine.restart()));
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
-    await delay(TOLD_MS);
+    await delay(ANNOUNCED_MS);
     for (const machine of mesh.machines.slice(1)) {
-      expect(refusalOf(await askAt(machine))).toBe('503 quarantined');
+      expect(refusalOf(await sendTo(machine))).toBe('503 quarantined');
     }
     expect(crashes()).toBe(before);
   });
 
   it('is refused by a node that starts later', async () => {
-    await convict();
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     const before = crashes();
     const late = await mesh.add('desk', { zone: 'zone-c' });
     await mesh.settled();
     await waitFor(() => late.lines.some(({ event }) => event === 'quarantine'));
-    expect(refusalOf(await askAt(late))).toBe('503 quarantined');
+    expect(refusalOf(await sendTo(late))).toBe('503 quarantined');
     expect(crashes()).toBe(before);
   });
 
-  it('is suspected again by all nodes that are started anew after two crashes', async () => {
+  it('is still under suspicion at all nodes when they restart after two crashes', async () => {
     for (const { application } of mesh.machines) {
       application.serviceMs = 500;
     }
-    // Others run beside it, so that its crashes prove nothing.
-    const beside = [1, 2, 3, 4, 5].map((index) => askAt(mesh.machines[index], `/read/${index}`));
+    // Other requests run beside it, so that its crashes do not lead to a quarantine.
+    const beside = [1, 2, 3, 4, 5].map((index) => sendTo(mesh.machines[index], `/read/${index}`));
     await waitFor(() => mesh.runs().length === beside.length);
-    await askAt(mesh.machines[1]);
+    await sendTo(mesh.machines[1]);
     await Promise.all(beside);
     expect(crashes()).toBe(2);
     await waitFor(() => mesh.store.kind(CRASH_KIND).size === 1);
     await Promise.all(mesh.machines.map((machine) => machine.restart()));
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
-    await delay(TOLD_MS);
-    await convict();
+    await delay(ANNOUNCED_MS);
+    await sendUntilQuarantined();
     expect(crashes()).toBe(3);
   });
 
-  it('runs once more, alone, when an operator removes its record: mended, it is served', async () => {
-    await convict();
+  it('runs once more, alone, when an operator removes its record, and is served if it crashes nothing', async () => {
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
     crashing = false;
@@ -147,86 +151,86 @@
         lines.some(({ event, change }) => event === 'quarantine' && change === 'lifted'),
       );
     await waitFor(lifted);
-    expect((await askAt(mesh.machines[2])).status).toBe(200);
-    expect((await askAt(mesh.machines[3])).status).toBe(200);
+    expect((await sendTo(mesh.machines[2])).status).toBe(200);
+    expect((await sendTo(mesh.machines[3])).status).toBe(200);
   });
 
-  it('is quarantined again when it still crashes, at the cost of one back end', async () => {
-    await convict();
+  it('is quarantined again if it still crashes after that, at the cost of one back end', async () => {
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
     const before = crashes();
     mesh.store.delete(CRASH_KIND, storedNames()[0] as string);
-    await delay(TOLD_MS);
-    await convict(mesh.machines[2]);
+    await delay(ANNOUNCED_MS);
+    await sendUntilQuarantined(mesh.machines[2]);
     await waitFor(() => storedNames().length === 1);
     expect(crashes()).toBe(before + 1);
   });
 
-  it('is refused to its caller only: for another one it runs alone, and is served if that ends well', async () => {
-    await convict();
-    await delay(TOLD_MS);
+  it('is refused for its caller only: for another caller it runs alone, and is served if it crashes nothing', async () => {
+    await sendUntilQuarantined();
+    await delay(ANNOUNCED_MS);
     await waitFor(() => mesh.machines.slice(1).every(({ node }) => node.status.backEndReady));
     crashing = false;
-    // The first machine is that of another service.
-    expect((await askAt(mesh.machines[0])).status).toBe(200);
-    expect(refusalOf(await askAt(mesh.machines[1]))).toBe('503 quarantined');
+    // The first machine belongs to another service, so its requests have another caller.
+    expect((await sendTo(mesh.machines[0])).status).toBe(200);
+    expect(refusalOf(await sendTo(mesh.machines[1]))).toBe('503 quarantined');
   });
 });
 
-describe('a quarantine, while the store comes back from a copy', () => {
+describe('a quarantine when the store is restored from a copy', () => {
   const changes = (change: string) =>
     mesh.machines.flatMap(({ lines }) => lines.filter((line) => line.change === change));
 
-  it('holds though its record is lost, and is written again', async () => {
+  it('stays in force when its record is lost, and the record is written again', async () => {
     const copied = mesh.store.revision;
-    await convict();
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     const [name] = storedNames();
-    await delay(TOLD_MS);
+    await delay(ANNOUNCED_MS);
     const before = crashes();
     mesh.store.restore(copied);
     await waitFor(() => storedNames().includes(name as string));
-    await delay(TOLD_MS);
+    await delay(ANNOUNCED_MS);
     for (const machine of mesh.machines.slice(1)) {
-      expect(refusalOf(await askAt(machine))).toBe('503 quarantined');
+      expect(refusalOf(await sendTo(machine))).toBe('503 quarantined');
     }
     expect(changes('lifted')).toEqual([]);
     expect(crashes()).toBe(before);
-    // An operator can still lift it: the node that wrote it again knows its new revision.
+    // An operator can still lift it: the node that wrote the record again has its new revision.
     mesh.store.delete(CRASH_KIND, name as string);
     await waitFor(() => changes('lifted').length === MACHINES);
   });
 
-  it('stays lifted though its record is back, which goes again', async () => {
-    await convict();
+  it('stays lifted when its record is restored, and the record is removed again', async () => {
+    await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
     const copied = mesh.store.revision;
     crashing = false;
     mesh.store.delete(CRASH_KIND, storedNames()[0] as string);
     await waitFor(() => changes('lifted').length === MACHINES);
-    expect((await askAt(mesh.machines[2])).status).toBe(200);
+    expect((await sendTo(mesh.machines[2])).status).toBe(200);
     mesh.store.restore(copied);
     await waitFor(() => storedNames().length === 0);
-    await delay(TOLD_MS);
+    await delay(ANNOUNCED_MS);
     for (const machine of mesh.machines.slice(1)) {
-      expect((await askAt(machine)).status).toBe(200);
+      expect((await sendTo(machine)).status).toBe(200);
     }
     expect(changes('begun')).toHaveLength(MACHINES);
   });
 });
 
-describe('a request that was beside crashes', () => {
-  it('runs alone, and is served, though it was under two of them', async () => {
+describe('a request that was in flight beside crashes', () => {
+  it('runs alone and is served, although it was in flight at two crashes', async () => {
     for (const { application } of mesh.machines) {
       application.serviceMs = 60;
     }
     const crashBeside = async (round: number) => {
       const startedAt = performance.now();
-      const innocent = askAt(mesh.machines[1], '/read/innocent');
+      const innocent = sendTo(mesh.machines[1], '/read/innocent');
       const others = Array.from({ length: 12 }, (_, index) =>
-        askAt(mesh.machines[1 + (index % 5)], `/read/other-${round}-${index}`),
+        sendTo(mesh.machines[1 + (index % 5)], `/read/other-${round}-${index}`),
       );
       const ran = () =>
         mesh.machines.find(({ application }) =>
@@ -240,7 +244,7 @@
     await crashBeside(2);
     await waitFor(() => mesh.machines.slice(1).every(({ node }) => node.status.backEndReady));
     const after = await Promise.all(
-      [1, 2, 3, 4].map((index) => askAt(mesh.machines[index], '/read/innocent')),
+      [1, 2, 3, 4].map((index) => sendTo(mesh.machines[index], '/read/innocent')),
     );
     expect(after.map(({ status }) => status)).toEqual([200, 200, 200, 200]);
   });
--- a/test/quotas.test.ts
+++ b/test/quotas.test.ts
@@ -1,4 +1,8 @@
-/** Tenants' quotas over real sockets: what back ends ran of each, and who is refused. */
+/**
+ * Tenants' quotas over real sockets: in no window do back ends run more of a tenant's requests than
+ * its bound allows, also while nodes are killed, restarted or silent, and tenants within their
+ * limits are served.
+ */
 import net from 'node:net';
 import { setTimeout as delay } from 'node:timers/promises';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
@@ -17,8 +21,8 @@
 const CALM = { name: 'calm', apiKeys: ['calm-key'], ratePerS: 32, burst: 20 };
 const FREE = { name: 'free', apiKeys: ['free-key'] };
 
-/** Until every part of a quota is full, in milliseconds. */
-const FILL_MS = 1_500;
+/** Time in which every quota part fills, in milliseconds. */
+const PARTS_FILL_MS = 1_500;
 
 let mesh: SidecarMesh;
 
@@ -36,16 +40,16 @@
   }
   mesh.configure(ROUTES, { tenants: [HOT, CALM, FREE] });
   await mesh.settled();
-  await delay(FILL_MS);
+  await delay(PARTS_FILL_MS);
   return [...mesh.machines];
 }
 
-function ask(machine: Machine, key: string, path = '/read/1'): Promise<ClientResult> {
+function sendOne(machine: Machine, key: string, path = '/read/1'): Promise<ClientResult> {
   return call(machine.node.addresses.clients, path, { headers: { [KEY]: key } });
 }
 
-/** Sends as often as a tenant does, each request to the next machine; resolves with all statuses. */
-async function send(
+/** Sends at a steady rate, each request to the next machine; resolves with all statuses. */
+async function sendSteadily(
   machines: readonly Machine[],
   key: string,
   perS: number,
@@ -54,13 +58,13 @@
   const endsAt = performance.now() + forMs;
   const results: Promise<ClientResult>[] = [];
   while (performance.now() < endsAt) {
-    results.push(ask(machines[results.length % machines.length] as Machine, key));
+    results.push(sendOne(machines[results.length % machines.length] as Machine, key));
     await delay(1_000 / perS);
   }
   return (await Promise.all(results)).map(({ status }) => status);
 }
 
-/** Most runs of a tenant in any window. */
+/** Largest number of a tenant's runs in any window. */
 function worstWindow(tenant: string): number {
   const times = mesh
     .runs()
@@ -77,11 +81,11 @@
   statuses.filter((each) => each === status).length / statuses.length;
 
 describe('a tenant that sends six times its limit', () => {
-  it('is held to it over all nodes, and costs no other tenant anything', async () => {
+  it('is held to its limit over all nodes, while another tenant is served', async () => {
     const machines = await startMesh(['a', 'a', 'b', 'b', 'c']);
     const [hot, calm] = await Promise.all([
-      send(machines, 'hot-key', 6 * HOT.ratePerS, 3_000),
-      send(machines, 'calm-key', 20, 3_000),
+      sendSteadily(machines, 'hot-key', 6 * HOT.ratePerS, 3_000),
+      sendSteadily(machines, 'calm-key', 20, 3_000),
     ]);
     expect(worstWindow('hot')).toBeLessThanOrEqual(windowBound(tenantSchema.parse(HOT), QUOTA));
     expect(hot.filter((status) => status === 200).length).toBeGreaterThan(2.5 * HOT.ratePerS);
@@ -89,12 +93,12 @@
     expect(shareOf(calm, 200)).toBeGreaterThanOrEqual(0.97);
   });
 
-  it('is held to it while a node is killed and started again', async () => {
+  it('is held to its limit while a node is killed and restarted', async () => {
     const machines = await startMesh(['a', 'a', 'b', 'b']);
     const others = machines.slice(1);
     const [hot, calm] = await Promise.all([
-      send(others, 'hot-key', 6 * HOT.ratePerS, 3_000),
-      send(others, 'calm-key', 20, 3_000),
+      sendSteadily(others, 'hot-key', 6 * HOT.ratePerS, 3_000),
+      sendSteadily(others, 'calm-key', 20, 3_000),
       delay(1_000).then(() => machines[0]?.restart()),
     ]);
     expect(worstWindow('hot')).toBeLessThanOrEqual(windowBound(tenantSchema.parse(HOT), QUOTA));
@@ -104,17 +108,17 @@
 });
 
 describe('a quota', () => {
-  it('holds while all nodes are killed and started again at once', async () => {
+  it('holds while all nodes are killed and restarted at once', async () => {
     const machines = await startMesh(['a', 'a', 'b', 'b']);
     const [hot] = await Promise.all([
-      send(machines, 'hot-key', 6 * HOT.ratePerS, 3_000),
+      sendSteadily(machines, 'hot-key', 6 * HOT.ratePerS, 3_000),
       delay(1_000).then(() => Promise.all(machines.map((machine) => machine.restart()))),
     ]);
     expect(worstWindow('hot')).toBeLessThanOrEqual(windowBound(tenantSchema.parse(HOT), QUOTA));
     expect(shareOf(hot, 200)).toBeGreaterThan(0);
   });
 
-  it('holds, and is served from the other parts, while a holder is silent', async () => {
+  it('holds, and is granted from the other parts, while the holder of one part is silent', async () => {
     const machines = await startMesh(['a', 'a', 'b', 'b']);
     const [first, ...others] = machines as [Machine, ...Machine[]];
     const address = first.node.addresses.peers;
@@ -123,21 +127,21 @@
     const [host = '', port] = address.split(':');
     await new Promise<void>((resolve) => frozen.listen(Number(port), host, resolve));
     const [hot, calm] = await Promise.all([
-      send(others, 'hot-key', 6 * HOT.ratePerS, 3_000),
-      send(others, 'calm-key', 10, 3_000),
+      sendSteadily(others, 'hot-key', 6 * HOT.ratePerS, 3_000),
+      sendSteadily(others, 'calm-key', 10, 3_000),
     ]);
     frozen.close();
     expect(worstWindow('hot')).toBeLessThanOrEqual(windowBound(tenantSchema.parse(HOT), QUOTA));
     expect(shareOf(hot, 200)).toBeGreaterThan(0);
-    // Half of a limit of 32 a second is at the least reached by others than the silent one.
+    // The other holders have at least half of the limit of 32 a second.
     expect(shareOf(calm, 429)).toBeLessThanOrEqual(0.03);
   });
 });
 
-describe('a request over the limit', () => {
-  it('gets 429 and a time to come back, and a line that says what it rests on', async () => {
+describe('a burst of requests', () => {
+  it('gets 429 with a Retry-After above the limit, and a log line with the limit and its holders', async () => {
     const [first] = (await startMesh(['a', 'a'])) as [Machine, Machine];
-    const results = await Promise.all(Array.from({ length: 60 }, () => ask(first, 'hot-key')));
+    const results = await Promise.all(Array.from({ length: 60 }, () => sendOne(first, 'hot-key')));
     const refused = results.filter(({ status }) => status === 429);
     expect(refused.length).toBeGreaterThan(10);
     for (const { headers } of refused) {
@@ -154,17 +158,17 @@
     });
   });
 
-  it('is let in where its tenant has no limit', async () => {
+  it('is served if its tenant has no limit', async () => {
     const [first] = (await startMesh(['a', 'a'])) as [Machine, Machine];
-    const results = await Promise.all(Array.from({ length: 80 }, () => ask(first, 'free-key')));
+    const results = await Promise.all(Array.from({ length: 80 }, () => sendOne(first, 'free-key')));
     expect(results.every(({ status }) => status === 200)).toBe(true);
   });
 
-  it('has not used the quota if no owner was there to run it', async () => {
+  it('uses none of the quota if no owner is present', async () => {
     const [first] = (await startMesh(['a', 'a'])) as [Machine, Machine];
     for (let sent = 0; sent < 60; sent += 1) {
-      expect((await ask(first, 'hot-key', '/empty/1')).status).toBe(503);
+      expect((await sendOne(first, 'hot-key', '/empty/1')).status).toBe(503);
     }
-    expect((await ask(first, 'hot-key')).status).toBe(200);
+    expect((await sendOne(first, 'hot-key')).status).toBe(200);
   });
 });
--- a/test/sidecar-data-path.test.ts
+++ b/test/sidecar-data-path.test.ts
@@ -1,4 +1,8 @@
-/** Two hops between clients and back ends, with the faults that back ends show. */
+/**
+ * The data path from a client over two hops to a back end. Requests and answers must pass
+ * unchanged, and unsafe requests must run at most once, also when a back end resets connections,
+ * answers wrongly or early, is silent, or has its address reused by another service.
+ */
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import { ApplicationStandIn } from '../lab/application-stand-in.js';
 import { call, SidecarMesh, waitFor } from '../lab/sidecar-mesh.js';
@@ -13,7 +17,7 @@
   mesh.close();
 });
 
-/** Two owners of `desk` and one of `vault`, each on its own machine. */
+/** Starts two owners of `desk` and one of `vault`, each on its own machine. */
 async function threeMachines() {
   const first = await mesh.add('desk');
   const second = await mesh.add('desk');
@@ -28,7 +32,7 @@
 }
 
 describe('the two-hop data path', () => {
-  it('brings requests to their services unchanged and answers whole', async () => {
+  it('passes requests to their services unchanged and returns complete answers', async () => {
     const { vault, first } = await threeMachines();
     const address = vault.node.addresses.clients;
     const read = await call(address, '/read/%41/../x?y=%2F', {
@@ -59,7 +63,7 @@
   });
 
   it.each(['reset', 'answer-another', 'cut-short'] as const)(
-    'runs a safe request again after a back end that does %s',
+    'retries a safe request after the back end fault %s',
     async (behaviour) => {
       const { vault, first } = await threeMachines();
       first.application.behaviours.push(behaviour);
@@ -72,7 +76,7 @@
   );
 
   it.each(['reset', 'answer-another', 'cut-short'] as const)(
-    'runs an unsafe request once, and does not promise "not run", when a back end does %s',
+    'runs an unsafe request once, and answers 502 rather than "not run", after the back end fault %s',
     async (behaviour) => {
       const { vault, first, second } = await threeMachines();
       first.application.behaviours.push(behaviour);
@@ -87,7 +91,7 @@
     },
   );
 
-  it('offers an unsafe request to another owner when a back end turns it away', async () => {
+  it('offers an unsafe request to another owner when a back end rejects it', async () => {
     const { vault, first } = await threeMachines();
     first.application.behaviours.push('turn-away');
     const statuses: number[] = [];
@@ -99,7 +103,7 @@
     expect(mesh.runs()).toHaveLength(statuses.length);
   });
 
-  it('takes an answer that comes before a long body is in, and mixes nothing afterwards', async () => {
+  it('accepts an answer that comes before the end of a long body, and serves the next request correctly', async () => {
     const { vault, first } = await threeMachines();
     vault.application.behaviours.push('answer-early');
     const body = 'z'.repeat(3_000_000);
@@ -115,7 +119,7 @@
     expect(run?.body).toBe('short');
   });
 
-  it('runs nothing at another service that has got the address of a back end', async () => {
+  it('runs nothing at another service that reuses the address of a back end', async () => {
     const { vault, first, second } = await threeMachines();
     second.node.close();
     const port = Number(first.application.address.split(':')[1]);
@@ -136,7 +140,7 @@
     other.close();
   });
 
-  it('gives the final answer at the time-out of the route and ends the work', async () => {
+  it('answers 504 at the timeout of the route and cancels the run', async () => {
     const { vault, first, second } = await threeMachines();
     first.application.serviceMs = 5_000;
     second.application.serviceMs = 5_000;
@@ -150,7 +154,7 @@
     await waitFor(() => mesh.runs().every((run) => run.cutAt !== undefined));
   });
 
-  it('ends the work at the back end when the client leaves', async () => {
+  it('cancels the run at the back end when the client disconnects', async () => {
     const { vault, first, second } = await threeMachines();
     first.application.serviceMs = 5_000;
     second.application.serviceMs = 5_000;
@@ -161,7 +165,7 @@
     expect((run?.cutAt ?? 0) - (run?.at ?? 0)).toBeLessThan(700);
   });
 
-  it('hands the time that is left on', async () => {
+  it('passes the remaining time on to the back end', async () => {
     const { vault } = await threeMachines();
     await call(vault.node.addresses.clients, '/read/1', { deadlineMs: 400 });
     const left = Number(mesh.runs()[0]?.headers['spindlepaddle-deadline-ms']);
@@ -182,8 +186,8 @@
 });
 
 describe('admission at the owner', () => {
-  it('never gives a back end more than its slots, and refuses at once what cannot be in time', async () => {
-    // Long beside what thirty connections in one process cost on a machine that is full.
+  it('never exceeds the slots of a back end, and refuses at once requests that would be late', async () => {
+    // Much longer than thirty connections in one process take on a fully loaded machine.
     const serviceMs = 500;
     const only = await mesh.add('desk', { slots: 2 });
     const entry = await mesh.add('vault');
@@ -212,7 +216,7 @@
     expect(early.length).toBeGreaterThan(refused.length / 2);
   });
 
-  it('refuses what waits as soon as it cannot be in time, though no slot becomes free', async () => {
+  it('refuses a waiting request as soon as it would be late, also while no slot becomes free', async () => {
     const only = await mesh.add('desk', { slots: 1 });
     mesh.configure([{ name: 'read', service: 'desk', targetLatencyMs: 300, timeoutMs: 3_000 }]);
     await mesh.settled();
@@ -227,7 +231,7 @@
     await silent;
   });
 
-  it('spreads a split by its weights', async () => {
+  it('distributes the requests of a split by its weights', async () => {
     const desk = await mesh.add('desk');
     const vault = await mesh.add('vault');
     const split = [
@@ -242,7 +246,7 @@
     expect(Math.abs(vault.application.runs.length - 30)).toBeLessThanOrEqual(1);
   });
 
-  it('goes past a back end that loses answers, and comes back to it once it has recovered', async () => {
+  it('avoids a back end that loses answers, and uses it again once it has recovered', async () => {
     const losing = await mesh.add('desk');
     const sound = await mesh.add('desk', { zone: 'zone-b' });
     const entry = await mesh.add('vault');
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -1,4 +1,8 @@
-/** Tenants' keys over real sockets: who is let in, until when, and what back ends see of it. */
+/**
+ * Tenants' API keys over real sockets. If tenants are configured, only requests with a valid key
+ * are served on routes that are not public, a removed key is refused in time, and no key reaches a
+ * back end or a log line.
+ */
 import http from 'node:http';
 import { afterEach, beforeEach, describe, expect, it } from 'vitest';
 import {
@@ -30,7 +34,9 @@
   mesh.close();
 });
 
-/** Two machines of which only the second serves `desk`, so that requests of the first take two hops. */
+/**
+ * Starts two machines. Only the second serves `desk`, so that requests at the first take two hops.
+ */
 async function twoMachines(options: MachineOptions = {}) {
   const first = await mesh.add('vault', options);
   const second = await mesh.add('desk', options);
@@ -39,18 +45,18 @@
   return { first, second, address: first.node.addresses.clients };
 }
 
-/** Every value of every field that any back end got, one line each. */
-function everythingSeen(): string {
+/** Header fields, targets and bodies of all requests that back ends received, as JSON. */
+function allReceived(): string {
   return JSON.stringify(mesh.runs().map(({ headers, target, body }) => [headers, target, body]));
 }
 
 describe('a request with a key', () => {
-  it('reaches the back end with the name of its tenant alone', async () => {
+  it('reaches the back end with the name of its tenant and without the key', async () => {
     const { address } = await twoMachines();
     const headers = { [KEY]: 'acme-key', [TENANT]: 'beta', Spindlepaddle_Tenant: 'beta' };
     expect((await call(address, '/read/1', { headers })).status).toBe(200);
     expect(mesh.runs()[0]?.headers[TENANT]).toBe('acme');
-    expect(everythingSeen()).not.toMatch(/acme-key|beta|api.key/i);
+    expect(allReceived()).not.toMatch(/acme-key|beta|api.key/i);
   });
 
   it.each([
@@ -67,7 +73,7 @@
     expect(line).toMatchObject({ code: 'unknown-key', route: 'read' });
   });
 
-  it('on a public route passes no key and no claim on, once or twice', async () => {
+  it('on a public route passes on no key and no claimed tenant, also if sent twice', async () => {
     const { address } = await twoMachines();
     const headers = {
       [KEY]: ['acme-key', 'beta-key'],
@@ -76,10 +82,10 @@
     };
     expect((await call(address, '/open/1', { headers })).status).toBe(200);
     expect(mesh.runs()[0]?.headers[TENANT]).toBeUndefined();
-    expect(everythingSeen()).not.toMatch(/acme|beta/);
+    expect(allReceived()).not.toMatch(/acme|beta/);
   });
 
-  it('is passed on as it came where there are no tenants', async () => {
+  it('is passed on unchanged if no tenants are configured', async () => {
     const { address } = await twoMachines();
     const version = mesh.configure(ROUTES);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.version === version));
@@ -100,7 +106,7 @@
   });
 });
 
-/** A request whose body does not end before `end` is called. */
+/** Sends an upload whose body ends when `end` is called. */
 function heldUpload(address: string, agent: http.Agent) {
   const [host, port] = address.split(':');
   const headers = { host: 'mesh.example', [KEY]: 'acme-key', 'transfer-encoding': 'chunked' };
@@ -116,6 +122,7 @@
   return { end: () => request.end('ended'), status };
 }
 
+/** Status of a request on the agent's connections. */
 function readOn(address: string, agent: http.Agent, key: string): Promise<number> {
   const [host, port] = address.split(':');
   const headers = { host: 'mesh.example', [KEY]: key };
@@ -129,8 +136,8 @@
   });
 }
 
-describe('a key that is taken away', () => {
-  it('is refused on connections that are open, in bodies that come in, and the new one is taken', async () => {
+describe('a key that is removed', () => {
+  it('is refused on open connections and for bodies in progress, and the new key is accepted', async () => {
     const { first, address } = await twoMachines();
     const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
     const other = new http.Agent({ keepAlive: true });
@@ -152,7 +159,7 @@
     other.destroy();
   });
 
-  it('is learnt of by way of another node when the store turns one away', async () => {
+  it('is refused by a node without the store, which learns of the removal from another node', async () => {
     const { first, second, address } = await twoMachines();
     first.view.failure = 'unavailable';
     mesh.store.wake();
@@ -168,10 +175,10 @@
   });
 });
 
-describe('a node that hears nothing of the store', () => {
+describe('a node that the store does not answer', () => {
   it.each([
-    ['refuses a key that it cannot prove', true, 503],
-    ['serves with the key that it knows', false, 200],
+    ['refuses a key that it cannot confirm', true, 503],
+    ['serves a key that it has', false, 200],
   ])('%s (strict: %s)', async (_case, isStrict, expected) => {
     const revocation = { isStrict, withinMs: 1_500 };
     const { first, second, address } = await twoMachines({ bounds: { revocation } });
@@ -183,8 +190,8 @@
     mesh.store.wake();
     await waitFor(async () => (await ask('new-key')).status === 503);
     await new Promise((resolve) => setTimeout(resolve, revocation.withinMs));
-    const found = await ask('acme-key');
-    expect(found.status).toBe(expected);
+    const result = await ask('acme-key');
+    expect(result.status).toBe(expected);
     expect((await call(address, '/open/1')).status).toBe(200);
     first.view.failure = undefined;
     second.view.failure = undefined;
@@ -192,12 +199,12 @@
     await waitFor(async () => (await ask('new-key')).status === 401);
   });
 
-  it('knows no configuration: 503, never 401', async () => {
+  it('answers 503, never 401, without a configuration', async () => {
     const machine = await mesh.add('desk');
-    const found = await call(machine.node.addresses.clients, '/read/1', {
+    const result = await call(machine.node.addresses.clients, '/read/1', {
       headers: { [KEY]: 'any' },
     });
-    expect(found.status).toBe(503);
+    expect(result.status).toBe(503);
   });
 });
 
@@ -219,7 +226,7 @@
     return { near, far, address: near.node.addresses.clients };
   }
 
-  it('asks for the tenant of the key, whatever the client claims, and sees no key', async () => {
+  it('gets the tenant of the key, whatever the client claims, and no key', async () => {
     const { near, far, address } = await twoHomes();
     for (const key of ['acme-key', 'beta-key']) {
       for (const claim of ['acme', 'beta']) {
@@ -236,7 +243,7 @@
     expect((await call(address, '/open/1', { headers })).status).toBe(503);
   });
 
-  it('goes by the tenant that holds the key once the body has come in', async () => {
+  it('gets the tenant that has the key at the end of the body', async () => {
     const { near, far, address } = await twoHomes();
     const agent = new http.Agent();
     const held = heldUpload(address, agent);
--- a/test/whole-path.test.ts
+++ b/test/whole-path.test.ts
@@ -1,4 +1,8 @@
-/** The whole path with real processes: operator, store over HTTP, sidecars, back ends, clients. */
+/**
+ * The whole path with real processes: operator, store over HTTP, sidecars, back ends and clients.
+ * Each kind of traffic is served, a version comes into force while the store is unavailable to two
+ * zones, and a killed sidecar serves again after its restart.
+ */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -20,7 +24,7 @@
 
 const EXAMPLE = new URL('../examples/lektorka.yaml', import.meta.url).pathname;
 
-it('serves every kind of traffic, through a change, a store that is away, a kill and a stop', async () => {
+it('serves every kind of traffic, and handles a change, an unavailable store, a kill and a stop', async () => {
   expect(await mesh.operator(['apply', EXAMPLE, '--wait'])).toBe(0);
   await mesh.untilReady();
   for (const { method, path } of mesh.traffic) {
@@ -31,7 +35,7 @@
     }
   }
   const [first, second] = mesh.sidecars;
-  // Two of the zones are turned away by the store, and a version still comes into force on them.
+  // The store is unavailable to two of the zones, and a version still comes into force there.
   for (const way of mesh.ways.slice(0, 2)) {
     way.view.failure = 'unavailable';
   }
