--- a/src/directory/announcementBroadcast.ts
+++ b/src/directory/announcementBroadcast.ts
@@ -1,7 +1,7 @@
 /**
- * Tells news to all nodes, from node to node and without the store: to each node of the own zone, and in
- * each other zone to two that tell theirs. News is not repeated when a node does not take it: whoever
- * needs certainty tells it again, or keeps it in the store as well.
+ * Sends announcements to all nodes, from node to node and without the store: to each node of the
+ * own zone, and to two nodes of each other zone, which forward it to theirs. A failed send is not
+ * retried: a publisher that needs certainty publishes again, or writes to the store as well.
  */
 import { rankNames } from '../model/rendezvous.js';
 import type { Announcement, PeerClient } from '../peer/peerClient.js';
@@ -9,32 +9,33 @@
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
-/** A call that tells another node takes no longer, in milliseconds; it is not repeated. */
+/** Timeout in milliseconds of sending an announcement to another node; there is no retry. */
 const SEND_TIMEOUT_MS = 500;
 
 /**
- * Nodes of each other zone that are told and tell their zone: two, so that one may be away. News so
- * costs its node as many calls as its zone has nodes and two for each other zone, and two nodes of
- * each other zone as many as theirs: 256 and 250 among 1,000 nodes in four zones, of 200 bytes each.
+ * Nodes of each other zone that receive an announcement and forward it to their zone: two, so that
+ * one may be down. The publisher makes as many calls as its zone has nodes and two for each other
+ * zone; a forwarding node makes as many as its own zone has nodes. Among 1,000 nodes in four zones
+ * that is 256 and 250 calls, of 200 bytes each.
  */
 const RELAYS_PER_OTHER_ZONE = 2;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface AnnouncementBroadcastContext {
   readonly directory: OwnerDirectory;
   readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
 }
 
-/** Takes news of a topic: its content, as it came, and the address of the node that told it here. */
+/** Receives a topic's content as it arrived, unchecked, and the address of the sending node. */
 export type AnnouncementListener = (content: unknown, from: string) => void;
 
 export interface AnnouncementBroadcast {
-  /** Something was found out here; `content` is a value of CBOR. */
+  /** Sends an announcement of this node to all others; `content` is a CBOR value. */
   publish(topic: AnnouncementTopic, content: unknown): void;
-  /** Another node has told something. */
+  /** Handles an announcement that another node has sent to this one. */
   receive(message: AnnouncementMessage): void;
-  /** Who takes the news of a topic: one listener each. */
+  /** Sets the listener of a topic; a topic has only one. */
   subscribe(topic: AnnouncementTopic, listener: AnnouncementListener): void;
 }
 
@@ -45,33 +46,33 @@
 }: AnnouncementBroadcastContext): AnnouncementBroadcast {
   const listeners = new Map<AnnouncementTopic, AnnouncementListener>();
 
-  const othersIn = (isWanted: (entry: OwnerEntry) => boolean): OwnerEntry[] =>
-    directory.all().filter((entry) => !entry.isLocal && isWanted(entry));
+  const otherNodes = (predicate: (entry: OwnerEntry) => boolean): OwnerEntry[] =>
+    directory.all().filter((entry) => !entry.isLocal && predicate(entry));
 
-  const send = (entries: readonly OwnerEntry[], news: Announcement): void => {
+  const send = (entries: readonly OwnerEntry[], announcement: Announcement): void => {
     for (const { record } of entries) {
-      void caller.sendAnnouncement(record.address, news, SEND_TIMEOUT_MS);
+      void caller.sendAnnouncement(record.address, announcement, SEND_TIMEOUT_MS);
     }
   };
 
-  const tellZone = (topic: AnnouncementTopic, content: unknown): void =>
+  const sendToOwnZone = (topic: AnnouncementTopic, content: unknown): void =>
     send(
-      othersIn((entry) => directory.isInOwnZone(entry)),
+      otherNodes((entry) => directory.isInOwnZone(entry)),
       { topic, content, shouldForward: false },
     );
 
-  const tellOtherZones = (topic: AnnouncementTopic, content: unknown): void => {
-    const far = othersIn(
+  const sendToOtherZones = (topic: AnnouncementTopic, content: unknown): void => {
+    const remoteEntries = otherNodes(
       (entry) => !directory.isInOwnZone(entry) && entry.absenceReason !== 'silent',
     );
-    for (const zone of new Set(far.map(({ record }) => record.zone))) {
-      const nodes = far.filter(({ record }) => record.zone === zone);
-      const ranked = rankNames(
+    for (const zone of new Set(remoteEntries.map(({ record }) => record.zone))) {
+      const nodes = remoteEntries.filter(({ record }) => record.zone === zone);
+      const relays = rankNames(
         own().node,
         nodes.map(({ record }) => record.node),
       ).slice(0, RELAYS_PER_OTHER_ZONE);
       send(
-        nodes.filter(({ record }) => ranked.includes(record.node)),
+        nodes.filter(({ record }) => relays.includes(record.node)),
         { topic, content, shouldForward: true },
       );
     }
@@ -79,13 +80,13 @@
 
   return {
     publish: (topic, content) => {
-      tellZone(topic, content);
-      tellOtherZones(topic, content);
+      sendToOwnZone(topic, content);
+      sendToOtherZones(topic, content);
     },
     receive: ({ topic, content, shouldForward, sender }) => {
       listeners.get(topic)?.(content, sender.address);
       if (shouldForward) {
-        tellZone(topic, content);
+        sendToOwnZone(topic, content);
       }
     },
     subscribe: (topic, listener) => {
--- a/src/directory/crossZoneBudget.ts
+++ b/src/directory/crossZoneBudget.ts
@@ -1,40 +1,39 @@
 /**
- * How many large requests may leave their zone although owners of it are up.
+ * Limits how many large requests may leave their zone while owners in the zone are up.
  *
- * Bytes between zones are dear, and one large body weighs as much as dozens of
- * small requests. While the zone's owners are merely busy, a large request is
- * better refused with a true time to come back than sent away: only a small share
- * may go.
+ * Traffic between zones is expensive, and one large body costs as much as dozens of small requests.
+ * While the zone's owners are only busy, it is better to refuse a large request with an accurate
+ * retry time than to send it to another zone: only a small share may leave.
  */
 
 /** A request body of this size, in bytes, or above is large. */
 export const LARGE_BODY_BYTES = 16 * 1024;
 
-/** Part of the large requests that may leave the zone. */
+/** Share of the large requests that may leave the zone. */
 const CROSS_ZONE_RATIO = 0.1;
 
-/** Large requests that may leave the zone in one go. */
+/** Large requests that may leave the zone in one burst. */
 const CROSS_ZONE_BURST = 2;
 
-/** Keeps count of the large requests of one node. */
+/** Token bucket for the large requests of one node. */
 export interface CrossZoneBudget {
-  /** A large request has arrived: it earns its part of one that may leave. */
+  /** Adds a large request's share of a token; called when the request arrives. */
   deposit(): void;
-  /** Takes the leave for one large request; false when there is none left. */
+  /** Takes the token for one large request to leave the zone; false if none is available. */
   tryWithdraw(): boolean;
 }
 
 export function createCrossZoneBudget(): CrossZoneBudget {
-  let left = CROSS_ZONE_BURST;
+  let tokens = CROSS_ZONE_BURST;
   return {
     deposit: () => {
-      left = Math.min(CROSS_ZONE_BURST, left + CROSS_ZONE_RATIO);
+      tokens = Math.min(CROSS_ZONE_BURST, tokens + CROSS_ZONE_RATIO);
     },
     tryWithdraw: () => {
-      if (left < 1) {
+      if (tokens < 1) {
         return false;
       }
-      left -= 1;
+      tokens -= 1;
       return true;
     },
   };
--- a/src/directory/staggeredRepairs.test.ts
+++ b/src/directory/staggeredRepairs.test.ts
@@ -11,41 +11,41 @@
   vi.useRealTimers();
 });
 
-/** What each node does of one thing, in the order in which they do it. */
-function startAll(acted: string[]) {
+/** Schedules one repair on every node; `repairedBy` lists the nodes that have made it, in order. */
+function startAll(repairedBy: string[]) {
   return NODES.map((own) => {
-    const turns = createStaggeredRepairs({ own: () => own, nodes: () => NODES });
-    turns.schedule('record', () => acted.push(own));
-    return turns;
+    const repairs = createStaggeredRepairs({ own: () => own, nodes: () => NODES });
+    repairs.schedule('record', () => repairedBy.push(own));
+    return repairs;
   });
 }
 
-it('comes to the nodes one after the other, to each once', () => {
-  const acted: string[] = [];
-  startAll(acted);
+it('runs the repair on one node after the other, once on each', () => {
+  const repairedBy: string[] = [];
+  startAll(repairedBy);
   vi.advanceTimersByTime(0);
-  expect(acted).toHaveLength(1);
+  expect(repairedBy).toHaveLength(1);
   vi.advanceTimersByTime(STAGGER_MS);
-  expect(acted).toHaveLength(2);
+  expect(repairedBy).toHaveLength(2);
   vi.advanceTimersByTime(NODES.length * STAGGER_MS);
-  expect([...acted].sort()).toEqual(NODES);
+  expect([...repairedBy].sort()).toEqual(NODES);
 });
 
-it('passes those that are told that it is done', () => {
-  const acted: string[] = [];
-  const all = startAll(acted);
+it('does not run the repair on nodes that have cancelled it', () => {
+  const repairedBy: string[] = [];
+  const all = startAll(repairedBy);
   vi.advanceTimersByTime(0);
-  for (const turns of all) {
-    turns.cancel('record');
+  for (const repairs of all) {
+    repairs.cancel('record');
   }
   vi.advanceTimersByTime(NODES.length * STAGGER_MS);
-  expect(acted).toHaveLength(1);
+  expect(repairedBy).toHaveLength(1);
 });
 
-it('comes at once to a node that knows no other', () => {
-  const acted: string[] = [];
-  const turns = createStaggeredRepairs({ own: () => 'alone', nodes: () => [] });
-  turns.schedule('record', () => acted.push('alone'));
+it('runs the repair at once on a node with an empty list of nodes', () => {
+  const repairedBy: string[] = [];
+  const repairs = createStaggeredRepairs({ own: () => 'alone', nodes: () => [] });
+  repairs.schedule('record', () => repairedBy.push('alone'));
   vi.advanceTimersByTime(0);
-  expect(acted).toEqual(['alone']);
+  expect(repairedBy).toEqual(['alone']);
 });
--- a/src/directory/staggeredRepairs.ts
+++ b/src/directory/staggeredRepairs.ts
@@ -1,52 +1,53 @@
 /**
- * What the system had written and a store has lost when it came back from a copy is written again. Every node
- * knows it and one is enough: they take turns by rank, and who sees that it is done lets its turn pass.
+ * Schedules repairs of the store after it was restored from a copy. Every node can make a repair
+ * and one is enough: the nodes take turns by rank, and a node that sees the repair done cancels its
+ * own.
  */
 import { rankNames } from '../model/rendezvous.js';
 
 /**
- * Time from one node's turn to the next, in milliseconds: a write and its way back to all nodes take some tens,
- * by a reader that waits for more changes up to half a second.
+ * Time from one node's turn to the next, in milliseconds. A write takes some tens of milliseconds
+ * to reach all nodes, and up to half a second through a reader that waits for more changes.
  */
 export const STAGGER_MS = 700;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface StaggeredRepairsContext {
   readonly own: () => string;
-  /** Nodes that are up, as far as is known here. */
+  /** Names of the nodes on record here. */
   readonly nodes: () => readonly string[];
 }
 
 export interface StaggeredRepairs {
-  /** Acts when it is this node's turn, unless it is told before that this is done. */
-  schedule(key: string, act: () => void): void;
-  /** It is done, or needs not be any more. */
+  /** Runs `action` at this node's turn, unless {@link StaggeredRepairs.cancel} comes first. */
+  schedule(key: string, action: () => void): void;
+  /** Cancels the repair, since it is done or no longer needed. */
   cancel(key: string): void;
   stop(): void;
 }
 
 export function createStaggeredRepairs({ own, nodes }: StaggeredRepairsContext): StaggeredRepairs {
-  const waiting = new Map<string, NodeJS.Timeout>();
+  const timers = new Map<string, NodeJS.Timeout>();
   const cancel = (key: string): void => {
-    clearTimeout(waiting.get(key));
-    waiting.delete(key);
+    clearTimeout(timers.get(key));
+    timers.delete(key);
   };
   return {
-    schedule: (key, act) => {
+    schedule: (key, action) => {
       cancel(key);
       const turn = Math.max(0, rankNames(key, [...nodes()]).indexOf(own()));
       const timer = setTimeout(() => {
-        waiting.delete(key);
-        act();
+        timers.delete(key);
+        action();
       }, turn * STAGGER_MS);
-      waiting.set(key, timer);
+      timers.set(key, timer);
     },
     cancel,
     stop: () => {
-      for (const timer of waiting.values()) {
+      for (const timer of timers.values()) {
         clearTimeout(timer);
       }
-      waiting.clear();
+      timers.clear();
     },
   };
 }
