--- a/src/directory/directory-sync.test.ts
+++ b/src/directory/directory-sync.test.ts
@@ -11,8 +11,8 @@
 const ZONES = 7;
 const NODES = 195;
 
-/** Time for which absent owners are watched, in milliseconds. */
-const WATCHED_MS = 12_000;
+/** Time for which the probes of absent owners are recorded, in milliseconds. */
+const RECORDED_MS = 12_000;
 
 function recordOf(index: number): OwnerRecord {
   return {
@@ -23,31 +23,35 @@
   };
 }
 
-/** The directory of one node in a large fleet, and whom it asks. */
-function fleet(
+/** The directory of one node in a large mesh, and the addresses that the node probes. */
+function createNode(
   answer: (address: string) => PeerReport | undefined,
   options: Partial<DirectorySyncOptions> = {},
 ) {
   const own = recordOf(0);
-  const asked: string[] = [];
+  const probed: string[] = [];
   const clock = { now: () => performance.now() };
   const directory = new OwnerDirectory(own.zone, (record) => {
-    const live = record.node === own.node ? () => peerReport() : undefined;
-    return new OwnerEntry(record, { run: () => Promise.reject(new Error('not used')) }, live);
+    const localReport = record.node === own.node ? () => peerReport() : undefined;
+    return new OwnerEntry(
+      record,
+      { run: () => Promise.reject(new Error('not used')) },
+      localReport,
+    );
   });
   for (let index = 0; index < NODES; index += 1) {
     directory.put(recordOf(index));
   }
   const caller = {
     status: (address: string) => {
-      asked.push(address);
+      probed.push(address);
       return Promise.resolve(answer(address));
     },
   } as unknown as PeerClient;
-  const never = () => new Promise<never>(() => {});
+  const neverSettles = () => new Promise<never>(() => {});
   const sync = new DirectorySync({
     clock,
-    store: { list: never, watch: never } as unknown as ObjectStore,
+    store: { list: neverSettles, watch: neverSettles } as unknown as ObjectStore,
     directory,
     caller,
     own: () => own,
@@ -58,10 +62,10 @@
     onUnreadable: () => {},
     ...options,
   });
-  return { own, asked, directory, sync };
+  return { own, probed, directory, sync };
 }
 
-describe('absent owners of a large fleet', () => {
+describe('absent owners in a large mesh', () => {
   beforeEach(() => {
     vi.useFakeTimers({ toFake: ['setInterval', 'clearInterval', 'performance'] });
   });
@@ -70,27 +74,30 @@
     vi.useRealTimers();
   });
 
-  it('are asked at a rate that does not grow with their number, near ones first', async () => {
-    const { own, asked, directory, sync } = fleet(() => undefined);
-    const isNear = (address: string) => directory.findByAddress(address)?.record.zone === own.zone;
+  it('are probed: all of the own zone, those of other zones at a limited rate', async () => {
+    const { own, probed, directory, sync } = createNode(() => undefined);
+    const isInOwnZone = (address: string) =>
+      directory.findByAddress(address)?.record.zone === own.zone;
     for (const entry of directory.all().filter((each) => !each.isLocal)) {
       entry.markAbsent('silent', performance.now());
     }
     sync.start();
-    await vi.advanceTimersByTimeAsync(WATCHED_MS);
+    await vi.advanceTimersByTimeAsync(RECORDED_MS);
     await sync.stop(false);
-    const near = asked.filter(isNear);
-    const far = asked.filter((address) => !isNear(address));
-    expect(new Set(near).size).toBe(
+    const inOwnZone = probed.filter(isInOwnZone);
+    const inOtherZones = probed.filter((address) => !isInOwnZone(address));
+    expect(new Set(inOwnZone).size).toBe(
       directory.all().filter((entry) => directory.isInOwnZone(entry)).length - 1,
     );
-    expect(far.length).toBeLessThanOrEqual(WATCHED_MS / 100);
-    // All take their turn: none is forgotten.
-    expect(new Set(far).size).toBe(Math.min(far.length, NODES - new Set(near).size - 1));
+    expect(inOtherZones.length).toBeLessThanOrEqual(RECORDED_MS / 100);
+    // Probes go round all owners before one is probed again.
+    expect(new Set(inOtherZones).size).toBe(
+      Math.min(inOtherZones.length, NODES - new Set(inOwnZone).size - 1),
+    );
   });
 
-  it('are found again when they are back', async () => {
-    const { directory, sync } = fleet(() => peerReport());
+  it('are present again after they answer a probe', async () => {
+    const { directory, sync } = createNode(() => peerReport());
     for (const entry of directory.all().filter((each) => !each.isLocal)) {
       entry.markAbsent('silent', performance.now());
     }
@@ -101,26 +108,26 @@
   });
 });
 
-it('a back end that is ready is announced to its whole zone and to a few of the others', () => {
-  const { own, asked, directory, sync } = fleet(() => undefined);
+it('notifies all nodes of the own zone and eight others when the back end is ready', () => {
+  const { own, probed, directory, sync } = createNode(() => undefined);
   sync.announceReady();
   const zone = directory.all().filter((entry) => directory.isInOwnZone(entry) && !entry.isLocal);
-  expect(asked).toEqual(expect.arrayContaining(zone.map((entry) => entry.record.address)));
-  expect(asked).not.toContain(own.address);
-  expect(asked.length - zone.length).toBe(8);
+  expect(probed).toEqual(expect.arrayContaining(zone.map((entry) => entry.record.address)));
+  expect(probed).not.toContain(own.address);
+  expect(probed.length - zone.length).toBe(8);
 });
 
-describe('a node whose record is gone', () => {
+describe('a node whose record was removed', () => {
   const others = [recordOf(1), recordOf(2)];
 
-  /** The directory of one node that sees these records, then the end of the first one as `last`. */
-  async function seeingEndOf(last: OwnerRecord) {
+  /** Lets a node read the records of `others`, then the record `last` and its removal. */
+  async function removeRecord(last: OwnerRecord) {
     const store = new MemoryStore();
     for (const record of others) {
       store.put(NODE_KIND, record.node, record);
     }
     const left = new Set<string>();
-    const { directory, sync } = fleet(() => undefined, {
+    const { directory, sync } = createNode(() => undefined, {
       store: new StoreView(store),
       onLeft: (node) => left.add(node),
     });
@@ -128,7 +135,7 @@
     await vi.waitFor(() => expect(sync.isSynced).toBe(true));
     store.put(NODE_KIND, last.node, last);
     store.delete(NODE_KIND, last.node);
-    // A change that comes after it is known: so is the end.
+    // Once this later change is applied, the removal is applied as well.
     store.put(NODE_KIND, 'node-new', { ...recordOf(3), node: 'node-new', address: '10.9.9.9:1' });
     const has = (node: string) => directory.all().some(({ record }) => record.node === node);
     await vi.waitFor(() => expect(has('node-new')).toBe(true));
@@ -136,12 +143,12 @@
     return { isKnown: has(last.node), left: [...left] };
   }
 
-  it('is forgotten at once if that said that it leaves', async () => {
-    const found = await seeingEndOf({ ...recordOf(1), hasLeft: true });
-    expect(found).toEqual({ isKnown: false, left: ['node-1'] });
+  it('is removed from the directory at once if the record was marked as left', async () => {
+    const result = await removeRecord({ ...recordOf(1), hasLeft: true });
+    expect(result).toEqual({ isKnown: false, left: ['node-1'] });
   });
 
-  it('is asked first if it did not: it may be cut off', async () => {
-    expect(await seeingEndOf(recordOf(1))).toEqual({ isKnown: true, left: [] });
+  it('stays in the directory without the mark, since it may only be cut off', async () => {
+    expect(await removeRecord(recordOf(1))).toEqual({ isKnown: true, left: [] });
   });
 });
--- a/src/directory/directory-sync.ts
+++ b/src/directory/directory-sync.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the directory and the store in step: publishes this node's record once,
- * follows those of the others, and asks absent owners whether they are back.
+ * Synchronises the directory with the store: publishes this node's record, follows the records of
+ * the other nodes, and probes absent owners.
  */
 import type { Clock } from '../model/clock.js';
 import type { PeerClient } from '../peer/peerClient.js';
@@ -20,34 +20,34 @@
 import { createRestoredRecords, type RestoredRecords } from './restoredRecords.js';
 import { createStaggeredRepairs } from './staggeredRepairs.js';
 
-/** Kind of the objects by which nodes find one another. */
+/** Kind of the objects through which nodes discover one another. */
 export const NODE_KIND = 'spindlepaddle-nodes';
 
-/** Pause between two looks for absent owners that are due, in milliseconds. */
+/** Interval in milliseconds at which owners that are due for a probe are looked for. */
 const PROBE_TICK_MS = 100;
 
-/** A status call that takes longer, in milliseconds, has failed. */
+/** Timeout of a status call in milliseconds. */
 const STATUS_TIMEOUT_MS = 500;
 
-/** The owners that another node knows are asked for at the most this long, in milliseconds. */
+/** Timeout in milliseconds of fetching the list of owners from another node. */
 const DIRECTORY_TIMEOUT_MS = 1_000;
 
-/** What the synchronisation needs of its node. */
+/** Dependencies on the node. */
 export interface DirectorySyncOptions {
   readonly clock: Clock;
   readonly store: ObjectStore;
   readonly directory: OwnerDirectory;
   readonly caller: PeerClient;
   readonly own: () => OwnerRecord;
-  /** True while other nodes go by whether this one has left; left out: they do not. */
+  /** True while other nodes depend on this node's departure mark; defaults to false. */
   readonly marksDeparture?: () => boolean;
   readonly timing: WatchTiming;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
   readonly onOwnerChange: (node: string, change: string, detail: string) => void;
-  /** The node has left for good, by its own word. */
+  /** Called when a node has marked its record as that of a node that leaves for good. */
   readonly onLeft?: (node: string) => void;
   readonly onReport: (address: string, report: PeerReport) => void;
-  /** The record of this name cannot be read. */
+  /** Called with the name of a record that does not match the schema. */
   readonly onUnreadable: (name: string) => void;
   readonly random?: () => number;
 }
@@ -56,14 +56,14 @@
 export class DirectorySync {
   private readonly watcher: CollectionWatcher<OwnerRecord>;
   private readonly ownRecord: OwnRecord;
-  private stopped = false;
-  private listed = false;
-  /** True once another node has told its owners, while the store has not. */
+  private isStopped = false;
+  private hasStoreList = false;
+  /** True once another node has sent its list of owners, before the store has. */
   private hasPeerList = false;
-  private isAsking = false;
+  private isFetchingOwners = false;
   private readonly probes: OwnerProbes;
-  private readonly missing: MissingOwners;
-  private readonly returned: RestoredRecords;
+  private readonly missingOwners: MissingOwners;
+  private readonly restoredRecords: RestoredRecords;
   private timer: NodeJS.Timeout | undefined;
 
   constructor(private readonly options: DirectorySyncOptions) {
@@ -75,12 +75,12 @@
       exchangeStatus: (address) => caller.status(address, STATUS_TIMEOUT_MS),
       onReport: (entry, report) => this.noteReport(entry, report),
     });
-    this.missing = createMissingOwners({
+    this.missingOwners = createMissingOwners({
       clock,
       isAlive: (node) => this.probes.isAlive(node),
       forget: (node) => this.forget(node),
     });
-    this.returned = createRestoredRecords({
+    this.restoredRecords = createRestoredRecords({
       repairs: createStaggeredRepairs({
         own: () => own().node,
         nodes: () => directory.all().map(({ record }) => record.node),
@@ -95,7 +95,7 @@
       NODE_KIND,
       {
         onList: (objects, revision) => this.onList(objects, revision),
-        onChange: (object, gone, revision) => this.onChange(object, gone, revision),
+        onChange: (object, isRemoved, revision) => this.onChange(object, isRemoved, revision),
         onConnected: options.onConnected,
       },
       options.timing,
@@ -109,12 +109,12 @@
     });
   }
 
-  /** True once the other nodes are known: from the store, or else from one of them. */
+  /** True once the list of nodes has been received, from the store or from another node. */
   get isSynced(): boolean {
-    return this.listed || this.hasPeerList;
+    return this.hasStoreList || this.hasPeerList;
   }
 
-  /** The known owners, for a node that the store does not serve; undefined before they are known. */
+  /** The list of owners, for a node that cannot reach the store; undefined until synchronised. */
   bytes(): Buffer | undefined {
     if (!this.isSynced) {
       return undefined;
@@ -126,40 +126,43 @@
   start(): void {
     this.timer = setInterval(() => {
       this.probes.probeDue();
-      this.missing.probeDue();
+      this.missingOwners.probeDue();
     }, PROBE_TICK_MS);
     void this.watcher.run();
   }
 
-  /** Stops following; `leaving` removes the own record for good. */
+  /** Stops the synchronisation; with `leaving`, the own record is removed for good. */
   async stop(leaving: boolean): Promise<void> {
-    this.stopped = true;
+    this.isStopped = true;
     clearInterval(this.timer);
-    this.returned.stop();
+    this.restoredRecords.stop();
     this.watcher.stop();
     await this.ownRecord.stop(leaving);
   }
 
-  /** Tells other nodes that the back end here is ready. */
+  /** Notifies other nodes that the back end of this node is ready. */
   announceReady(): void {
     this.probes.announceReady();
   }
 
-  /** A node that was heard of directly: it joins even if the store does not serve this node. */
+  /**
+   * Handles a direct message of another node: applies its report and, if this node has no list of
+   * owners yet, fetches one from the sender. So a node joins even without the store.
+   */
   notePeer(sender: PeerSender, report: PeerReport | undefined): void {
     const entry = this.options.directory.findByAddress(sender.address);
     if (entry && report) {
       this.noteReport(entry, report);
     }
-    if (!this.isSynced && !this.isAsking && !this.stopped) {
-      this.isAsking = true;
+    if (!this.isSynced && !this.isFetchingOwners && !this.isStopped) {
+      this.isFetchingOwners = true;
       void this.fetchOwnersFromPeer(sender.address).finally(() => {
-        this.isAsking = false;
+        this.isFetchingOwners = false;
       });
     }
   }
 
-  /** Takes the owners that another node knows; the store's list, once it comes, replaces them. */
+  /** Adds the owners in another node's list; the store's list replaces them once it arrives. */
   private async fetchOwnersFromPeer(address: string): Promise<void> {
     const bytes = await this.options.caller.directory(address, DIRECTORY_TIMEOUT_MS);
     const records = bytes && readOwnerRecords(bytes);
@@ -174,23 +177,23 @@
     this.options.onOwnerChange(address, 'told', `${records.length} owners`);
   }
 
-  /** Publishes the own record if the store holds another one. */
+  /** Publishes the own record if the store does not hold its current content. */
   async publish(): Promise<void> {
-    if (this.listed) {
+    if (this.hasStoreList) {
       await this.ownRecord.publish();
     }
   }
 
   private onList(objects: readonly StoredObject<OwnerRecord>[], revision: number): void {
     const own = this.options.own().node;
-    this.listed = true;
+    this.hasStoreList = true;
     for (const object of objects) {
-      this.take(object);
+      this.applyObject(object);
     }
     const stored = new Set([own, ...objects.map((object) => object.name)]);
     for (const { record } of this.options.directory.all()) {
       if (!stored.has(record.node)) {
-        this.noteGone(record.node, revision);
+        this.noteRecordGone(record.node, revision);
       }
     }
     if (!objects.some((object) => object.name === own)) {
@@ -199,11 +202,11 @@
     void this.publish();
   }
 
-  private onChange(object: StoredObject<OwnerRecord>, gone: boolean, revision: number): void {
+  private onChange(object: StoredObject<OwnerRecord>, isRemoved: boolean, revision: number): void {
     const own = this.options.own().node;
-    if (!gone) {
-      this.take(object);
-      // Another writer may have put something else in place of the own record.
+    if (!isRemoved) {
+      this.applyObject(object);
+      // Another writer may have replaced the own record.
       void this.publish();
       return;
     }
@@ -213,22 +216,22 @@
       return;
     }
     if (hasLeft(object)) {
-      this.returned.noteAbsent(object.name, revision);
+      this.restoredRecords.noteAbsent(object.name, revision);
       this.noteLeft(object.name);
     } else {
-      this.noteGone(object.name, revision);
+      this.noteRecordGone(object.name, revision);
     }
   }
 
-  /** Nothing says yet whether the node is gone as well. */
-  private noteGone(node: string, revision: number): void {
-    this.returned.noteAbsent(node, revision);
-    this.missing.add(node);
+  /** The node may still be running although its record is gone: it is probed before removal. */
+  private noteRecordGone(node: string, revision: number): void {
+    this.restoredRecords.noteAbsent(node, revision);
+    this.missingOwners.add(node);
   }
 
-  /** Its record goes next: it is not asked whether it is still there. */
+  /** Removes a node that has marked its departure. Its record disappears next; no probe is sent. */
   private noteLeft(node: string): void {
-    this.missing.remove(node);
+    this.missingOwners.remove(node);
     if (this.options.directory.remove(node)) {
       this.options.onOwnerChange(node, 'removed', 'left');
     }
@@ -240,7 +243,7 @@
     this.options.onOwnerChange(node, 'removed', 'store');
   }
 
-  private take(object: StoredObject<OwnerRecord>): void {
+  private applyObject(object: StoredObject<OwnerRecord>): void {
     const { own, onUnreadable } = this.options;
     const isReadable = isOwnerRecord(object.spec);
     if (!isReadable) {
@@ -251,10 +254,10 @@
       return;
     }
     if (!isReadable) {
-      // What was known of the node holds.
+      // The entry from the node's earlier record stays.
       return;
     }
-    if (this.returned.verifyIfRestored(object)) {
+    if (this.restoredRecords.verifyIfRestored(object)) {
       return;
     }
     if (hasLeft(object)) {
@@ -265,7 +268,7 @@
   }
 
   private putOwner({ name, spec }: StoredObject<OwnerRecord>): void {
-    this.missing.remove(name);
+    this.missingOwners.remove(name);
     this.options.directory.put({ ...spec, node: name });
   }
 
@@ -279,7 +282,10 @@
   }
 }
 
-/** True for the last record of a node that has left for good, also as what was there when it went. */
+/**
+ * True for the last record of a node that has left for good, also when the store returns it as the
+ * last content of a removed object.
+ */
 function hasLeft({ spec }: StoredObject<OwnerRecord>): boolean {
   return isOwnerRecord(spec) && spec.hasLeft === true;
 }
--- a/src/directory/missingOwners.test.ts
+++ b/src/directory/missingOwners.test.ts
@@ -1,60 +1,60 @@
 import { describe, expect, it } from 'vitest';
 import { createMissingOwners } from './missingOwners.js';
 
-/** Owners that live as the set says, and the ones that were forgotten. */
-function missingOwners(living: Set<string>) {
-  const state = { now: 0, asked: [] as string[], forgotten: [] as string[] };
+/** Missing owners of which those in `running` answer probes; records the probed and the removed. */
+function setUp(running: Set<string>) {
+  const state = { now: 0, probed: [] as string[], removed: [] as string[] };
   const missing = createMissingOwners({
     clock: { now: () => state.now },
     isAlive: (node) => {
-      state.asked.push(node);
-      return Promise.resolve(living.has(node));
+      state.probed.push(node);
+      return Promise.resolve(running.has(node));
     },
-    forget: (node) => state.forgotten.push(node),
+    forget: (node) => state.removed.push(node),
   });
-  const askAt = async (now: number) => {
+  const probeAt = async (now: number) => {
     state.now = now;
     missing.probeDue();
     await new Promise((resolve) => setImmediate(resolve));
   };
-  return { state, missing, askAt };
+  return { state, missing, probeAt };
 }
 
 describe('createMissingOwners', () => {
-  it('forgets an owner that does not answer, after the time to put its record back', async () => {
-    const { state, missing, askAt } = missingOwners(new Set());
+  it('removes an owner that does not answer the probe three seconds after the loss', async () => {
+    const { state, missing, probeAt } = setUp(new Set());
     missing.add('a');
-    await askAt(2_900);
-    expect(state.forgotten).toEqual([]);
-    await askAt(3_000);
-    expect(state.forgotten).toEqual(['a']);
-    await askAt(9_000);
-    expect(state.asked).toEqual(['a']);
+    await probeAt(2_900);
+    expect(state.removed).toEqual([]);
+    await probeAt(3_000);
+    expect(state.removed).toEqual(['a']);
+    await probeAt(9_000);
+    expect(state.probed).toEqual(['a']);
   });
 
-  it('keeps an owner while it answers, and asks again', async () => {
-    const living = new Set(['a']);
-    const { state, missing, askAt } = missingOwners(living);
+  it('keeps an owner while it answers, and repeats the probe', async () => {
+    const running = new Set(['a']);
+    const { state, missing, probeAt } = setUp(running);
     missing.add('a');
-    await askAt(3_000);
-    await askAt(6_000);
-    expect(state.forgotten).toEqual([]);
-    living.clear();
-    await askAt(9_000);
-    expect(state.forgotten).toEqual(['a']);
+    await probeAt(3_000);
+    await probeAt(6_000);
+    expect(state.removed).toEqual([]);
+    running.clear();
+    await probeAt(9_000);
+    expect(state.removed).toEqual(['a']);
   });
 
-  it('leaves an owner alone whose record is back, even while it is being asked', async () => {
-    const { state, missing, askAt } = missingOwners(new Set());
+  it('keeps an owner whose record is back before or during the probe', async () => {
+    const { state, missing, probeAt } = setUp(new Set());
     missing.add('a');
     missing.remove('a');
-    await askAt(3_000);
-    expect(state.asked).toEqual([]);
+    await probeAt(3_000);
+    expect(state.probed).toEqual([]);
     missing.add('b');
     state.now = 6_000;
     missing.probeDue();
     missing.remove('b');
-    await askAt(6_001);
-    expect(state.forgotten).toEqual([]);
+    await probeAt(6_001);
+    expect(state.removed).toEqual([]);
   });
 });
--- a/src/directory/missingOwners.ts
+++ b/src/directory/missingOwners.ts
@@ -1,15 +1,15 @@
 /**
- * Owners whose records are gone from the store. Records may lapse while the store is away, or turns
- * their nodes away: a node that lives and reaches the store puts its own back within two seconds,
- * and one that only does not reach the store serves on meanwhile. So such an owner is asked, and
- * forgotten only if it does not answer.
+ * Owners whose records are gone from the store. A record may expire while the store is down or
+ * rejects its node's writes. A running node that reaches the store writes its record again within
+ * two seconds; a node that only cannot reach the store still serves. So the owner is probed, and
+ * removed only if it does not answer.
  */
 import type { Clock } from '../model/clock.js';
 
-/** An owner is asked this long after its record is gone, in milliseconds, and again as often. */
-const MISSING_MS = 3_000;
+/** Time from the loss of a record to the first probe, and between probes, in milliseconds. */
+const PROBE_INTERVAL_MS = 3_000;
 
-/** What is needed of the directory's synchronisation. */
+/** Dependencies on the directory's synchronisation. */
 export interface MissingOwnersContext {
   readonly clock: Clock;
   readonly isAlive: (node: string) => Promise<boolean>;
@@ -17,40 +17,40 @@
 }
 
 export interface MissingOwners {
-  /** The owner's record is gone. */
+  /** Called when the owner's record has disappeared from the store. */
   add(node: string): void;
-  /** The owner's record is there. */
+  /** Called when the owner's record is in the store, or the owner has left. */
   remove(node: string): void;
-  /** Asks those that are due. */
+  /** Probes the owners that are due. */
   probeDue(): void;
 }
 
 export function createMissingOwners(context: MissingOwnersContext): MissingOwners {
   const { clock, isAlive, forget } = context;
-  /** Steady time in milliseconds at which each one is asked. */
-  const askAt = new Map<string, number>();
-  const ask = async (node: string): Promise<void> => {
-    const lives = await isAlive(node);
-    // The record may have come back meanwhile.
-    if (!lives && askAt.delete(node)) {
+  /** Monotonic time in milliseconds of each owner's next probe. */
+  const nextProbeAt = new Map<string, number>();
+  const probe = async (node: string): Promise<void> => {
+    const isUp = await isAlive(node);
+    // The owner is no longer in the map if its record has come back during the probe.
+    if (!isUp && nextProbeAt.delete(node)) {
       forget(node);
     }
   };
   return {
     add: (node) => {
-      if (!askAt.has(node)) {
-        askAt.set(node, clock.now() + MISSING_MS);
+      if (!nextProbeAt.has(node)) {
+        nextProbeAt.set(node, clock.now() + PROBE_INTERVAL_MS);
       }
     },
     remove: (node) => {
-      askAt.delete(node);
+      nextProbeAt.delete(node);
     },
     probeDue: () => {
       const now = clock.now();
-      for (const [node, due] of askAt) {
+      for (const [node, due] of nextProbeAt) {
         if (now >= due) {
-          askAt.set(node, now + MISSING_MS);
-          void ask(node);
+          nextProbeAt.set(node, now + PROBE_INTERVAL_MS);
+          void probe(node);
         }
       }
     },
--- a/src/directory/ownRecord.test.ts
+++ b/src/directory/ownRecord.test.ts
@@ -6,8 +6,8 @@
 
 const KIND = 'nodes';
 
-/** A node's own record in a store, which tells it of what stands there when it reads anew. */
-function recordIn(store: MemoryStore, tellsLeaving = true) {
+/** A node's own record; `refresh` reads the store's object, as the watcher of the records does. */
+function createRecord(store: MemoryStore, marksDeparture = true) {
   const view = new StoreView(store);
   let zone = 'a';
   const stored = () => store.kind(KIND).get('one') as StoredObject<OwnerRecord> | undefined;
@@ -15,7 +15,7 @@
     store: view,
     kind: KIND,
     own: () => ({ node: 'one', zone, address: '10.0.0.1:1' }) as unknown as OwnerRecord,
-    marksDeparture: () => tellsLeaving,
+    marksDeparture: () => marksDeparture,
     refresh: async () => {
       const object = stored();
       if (object) {
@@ -26,8 +26,8 @@
   return { record, view, stored, moveTo: (next: string) => (zone = next) };
 }
 
-it('is written once, and again when it has changed', async () => {
-  const { record, view, stored, moveTo } = recordIn(new MemoryStore());
+it('writes the record once, and again when it has changed', async () => {
+  const { record, view, stored, moveTo } = createRecord(new MemoryStore());
   await record.publish();
   await record.publish();
   expect(view.calls).toBe(1);
@@ -37,18 +37,18 @@
   expect(view.calls).toBe(2);
 });
 
-it('takes the place of what another writer has put there', async () => {
+it('replaces an object that another writer has put in its place', async () => {
   const store = new MemoryStore();
-  const { record, stored } = recordIn(store);
+  const { record, stored } = createRecord(store);
   await record.publish();
   record.noteStored(store.put(KIND, 'one', 'something else') as StoredObject<OwnerRecord>);
   await record.publish();
   expect(stored()?.spec).toMatchObject({ node: 'one' });
 });
 
-it('is written after all when an earlier write of this node is carried out late', async () => {
+it('finds the record of a write that the store has executed late, and can remove it', async () => {
   const store = new MemoryStore();
-  const { record, view, stored } = recordIn(store);
+  const { record, view, stored } = createRecord(store);
   view.writesToDelay = 1;
   view.lateMs = 1;
   await record.publish();
@@ -59,21 +59,21 @@
   expect(store.revision).toBe(revision + 2);
 });
 
-it('goes with a node that leaves, and stays of one that only stops', async () => {
+it('marks and removes the record of a leaving node, and keeps that of a stopping one', async () => {
   const store = new MemoryStore();
-  const { record, stored } = recordIn(store);
+  const { record, stored } = createRecord(store);
   await record.publish();
   await record.stop(false);
   expect(stored()).toBeDefined();
   await record.stop(true);
   expect(stored()).toBeUndefined();
-  // Who sees its end alone can tell it from a record that somebody else has removed.
+  // The mark distinguishes the departure from a removal by another writer.
   const last = store.log.at(-1);
   expect(last).toMatchObject({ gone: true, object: { spec: { node: 'one', hasLeft: true } } });
 });
 
-it('goes with one write where no node goes by who has left', async () => {
-  const { record, view, stored } = recordIn(new MemoryStore(), false);
+it('removes the record without the mark if no node depends on it', async () => {
+  const { record, view, stored } = createRecord(new MemoryStore(), false);
   await record.publish();
   const before = view.calls;
   await record.stop(true);
--- a/src/directory/ownRecord.ts
+++ b/src/directory/ownRecord.ts
@@ -1,32 +1,35 @@
-/** This node's own record in the store: written once, and again whenever the store holds another one. */
+/** This node's own record in the store: written at the start and whenever the store's differs. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { ObjectStore, StoredObject } from '../source/object-store.js';
 import type { OwnerRecord } from './owner-entry.js';
 
-/** Pause before the own record is written again after a failure, in milliseconds, give or take a half. */
+/** Mean delay in milliseconds before a failed write is retried; it varies by up to a half. */
 const PUBLISH_RETRY_MS = 400;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface OwnRecordContext {
   readonly store: ObjectStore;
   /** Kind of the records. */
   readonly kind: string;
   readonly own: () => OwnerRecord;
-  /** True while other nodes go by whether this one has left: it costs a write more at a planned stop. */
+  /** True while other nodes need the departure mark, which costs a write more at a planned stop. */
   readonly marksDeparture: () => boolean;
-  /** Reads anew what the store holds. */
+  /** Reads the records from the store again. */
   readonly refresh: () => Promise<unknown>;
 }
 
-/** One per node; kept by the directory's synchronisation. */
+/** One per node; owned by the directory's synchronisation. */
 export interface OwnRecord {
-  /** Writes the record until the store holds it as it is, unless that is under way already. */
+  /** Retries until the store holds the current record; does nothing if a call is in progress. */
   publish(): Promise<void>;
-  /** The store holds this in its place. */
+  /** Called with the object that the store holds under the record's name. */
   noteStored(object: StoredObject<OwnerRecord>): void;
-  /** The store holds none. */
+  /** Called when the store holds no such object. */
   noteMissing(): void;
-  /** Ends writing. A node that is `leaving` for good removes its record, and says so in it first where others go by that. */
+  /**
+   * Stops writing. A node that is `leaving` for good removes its record, and marks it as left
+   * before that if {@link OwnRecordContext.marksDeparture} is true.
+   */
   stop(leaving: boolean): Promise<void>;
 }
 
@@ -43,7 +46,7 @@
     published = undefined;
   };
 
-  /** False if it has to be tried again. */
+  /** Returns false if the write has to be retried. */
   const write = async (): Promise<boolean> => {
     const record = own();
     const result =
@@ -56,7 +59,7 @@
       return true;
     }
     if (result.failure === 'conflict' || result.failure === 'not-found') {
-      // An earlier write of this node may have been carried out late: read what is there.
+      // The store may have executed an earlier write of this node late: read the current state.
       noteMissing();
       await refresh();
     }
@@ -90,7 +93,7 @@
       }
       const record = own();
       if (marksDeparture()) {
-        // A record that is only gone may be that of a node which is cut off, and goes on.
+        // Without the mark, other nodes must assume that the node is only cut off and still serves.
         const spec: OwnerRecord = { ...record, hasLeft: true };
         const marked = await store.replace(kind, { name: record.node, revision, spec });
         revision = marked.ok ? marked.value.revision : revision;
--- a/src/directory/owner-directory.test.ts
+++ b/src/directory/owner-directory.test.ts
@@ -26,24 +26,24 @@
   return directory.all().find((each) => each.record.node === node) as OwnerEntry;
 }
 
-function wish(priority: number, prefersOwnZone = false) {
+function criteria(priority: number, prefersOwnZone = false) {
   return { service: 'desk', priority, prefersOwnZone };
 }
 
 function chosen(directory: OwnerDirectory, now = 0, priority = 1): string | undefined {
-  return directory.choose(wish(priority), new Set(), now)?.record.node;
+  return directory.choose(criteria(priority), new Set(), now)?.record.node;
 }
 
 describe('OwnerDirectory', () => {
-  it('prefers the own zone and goes on to others when none there takes work', () => {
+  it('prefers the own zone, and chooses from others when no owner there is available', () => {
     const directory = directoryOf(record('1'), record('2', { zone: 'far' }));
     expect(chosen(directory)).toBe('1');
     entry(directory, '1').noteRejection('draining', 1, undefined, 0);
     expect(chosen(directory)).toBe('2');
-    expect(directory.choose(wish(1), new Set(directory.all()), 0)).toBeUndefined();
+    expect(directory.choose(criteria(1), new Set(directory.all()), 0)).toBeUndefined();
   });
 
-  it('chooses the owner that is expected to be done first', () => {
+  it('chooses the owner with the shortest expected time', () => {
     const directory = directoryOf(record('1'), record('2'));
     entry(directory, '1').noteReport(peerReport({ inFlight: 4, queued: 2 }), 0);
     entry(directory, '2').noteReport(peerReport({ inFlight: 1 }), 0);
@@ -52,14 +52,14 @@
     expect(chosen(directory)).toBe('1');
   });
 
-  it('gives an owner that has not served yet its share', () => {
+  it('chooses an idle owner that has not reported a service time yet', () => {
     const directory = directoryOf(record('1'), record('2'));
     entry(directory, '1').noteReport(peerReport({ inFlight: 1, meanServiceMs: 5 }), 0);
     entry(directory, '2').noteReport(peerReport({ meanServiceMs: undefined }), 0);
     expect(chosen(directory)).toBe('2');
   });
 
-  it('tries an owner again that was slow a while ago', () => {
+  it('chooses a slow owner again once its report is old', () => {
     const directory = directoryOf(record('1'), record('2'));
     entry(directory, '1').noteReport(peerReport({ meanServiceMs: 500 }), 0);
     entry(directory, '2').noteReport(peerReport({ inFlight: 1 }), 0);
@@ -68,7 +68,7 @@
     expect(chosen(directory, 5_000)).toBe('1');
   });
 
-  it('leaves a busy owner alone for a moment, but offers it what is more urgent', () => {
+  it('offers a busy owner only more urgent tasks during its backoff', () => {
     const directory = directoryOf(record('1'));
     entry(directory, '1').noteRejection('busy', 2, 1_000, 0);
     expect(chosen(directory, 10, 2)).toBeUndefined();
@@ -76,7 +76,7 @@
     expect(chosen(directory, 1_000, 2)).toBe('1');
   });
 
-  it('asks an absent owner again only once it has said that it is ready', () => {
+  it('chooses an absent owner only after it has reported that it is ready', () => {
     const directory = directoryOf(record('1'));
     entry(directory, '1').markAbsent('silent', 0);
     expect(chosen(directory, 60_000)).toBeUndefined();
@@ -86,64 +86,64 @@
     expect(chosen(directory, 60_000)).toBe('1');
   });
 
-  it('forgets a record whose address another node has taken', () => {
+  it('removes a record whose address another node now has', () => {
     const directory = directoryOf(record('1', { address: '10.0.0.9:1' }));
     directory.put(record('2', { address: '10.0.0.9:1' }));
     expect(directory.all().map((each) => each.record.node)).toEqual(['2']);
   });
 
-  it('goes past a back end that fails, unless the request had better stay in its zone', () => {
+  it('avoids a failing back end, unless the request prefers the own zone', () => {
     const directory = directoryOf(record('1'), record('2', { zone: 'far' }));
     entry(directory, '1').noteReport(peerReport({ failureShare: 0.4 }), 0);
     entry(directory, '2').noteReport(peerReport({ inFlight: 3 }), 0);
     expect(chosen(directory)).toBe('2');
-    expect(directory.choose(wish(1, true), new Set(), 0)?.record.node).toBe('1');
-    // It is tried again once its report is old.
+    expect(directory.choose(criteria(1, true), new Set(), 0)?.record.node).toBe('1');
+    // The owner is chosen again once its report is old.
     expect(chosen(directory, 3_000)).toBe('1');
   });
 
-  it('stays in its zone when all back ends fail alike', () => {
+  it('chooses from the own zone when all back ends fail alike', () => {
     const directory = directoryOf(record('1'), record('2', { zone: 'far' }));
     entry(directory, '1').noteReport(peerReport({ failureShare: 0.4 }), 0);
     entry(directory, '2').noteReport(peerReport({ failureShare: 0.4 }), 0);
     expect(chosen(directory)).toBe('1');
   });
 
-  it('sees what other nodes have brought to the owner on its own machine', () => {
-    const own = peerReport({ inFlight: 4, queued: 3 });
+  it('includes tasks of other nodes in the load of the local owner', () => {
+    const localReport = peerReport({ inFlight: 4, queued: 3 });
     const directory = new OwnerDirectory(
       'near',
-      (each) => new OwnerEntry(each, NO_OWNER, each.node === '1' ? () => own : undefined),
+      (each) => new OwnerEntry(each, NO_OWNER, each.node === '1' ? () => localReport : undefined),
       () => 0,
     );
     directory.put(record('1'));
     directory.put(record('2'));
     entry(directory, '2').noteReport(peerReport({ inFlight: 1 }), 0);
     expect(chosen(directory)).toBe('2');
-    // One hop less is worth some waiting, though not much.
+    // The saved hop outweighs a short wait only.
     entry(directory, '2').noteReport(peerReport({ inFlight: 4 }), 0);
     expect(chosen(directory)).toBe('1');
   });
 
-  it('counts the time that a body takes over the links, thin ones alone', () => {
+  it('includes the transfer time of a body, which matters only on slow links', () => {
     for (const [linkMbps, bodyBytes, node] of [
       [3.5, 60_000, '1'],
       [3.5, 300, '2'],
       [1_000, 60_000, '2'],
       [undefined, 60_000, '2'],
     ] as const) {
-      const own = peerReport({ inFlight: 3, meanServiceMs: 200 });
+      const localReport = peerReport({ inFlight: 3, meanServiceMs: 200 });
       const directory = new OwnerDirectory(
         'near',
-        (each) => new OwnerEntry(each, NO_OWNER, each.node === '1' ? () => own : undefined),
+        (each) => new OwnerEntry(each, NO_OWNER, each.node === '1' ? () => localReport : undefined),
         () => 0,
         linkMbps,
       );
       directory.put(record('1'));
       directory.put(record('2', linkMbps === undefined ? {} : { linkMbps }));
       entry(directory, '2').noteReport(peerReport({ inFlight: 0, meanServiceMs: 200 }), 0);
-      const offered = { ...wish(1), bodyBytes };
-      expect(directory.choose(offered, new Set(), 0)?.record.node).toBe(node);
+      const largeTask = { ...criteria(1), bodyBytes };
+      expect(directory.choose(largeTask, new Set(), 0)?.record.node).toBe(node);
     }
   });
 });
--- a/src/directory/owner-directory.ts
+++ b/src/directory/owner-directory.ts
@@ -1,4 +1,4 @@
-/** The owners that this node knows, by service, and the choice among them. */
+/** The owners on record at this node, by service, and the selection among them. */
 import { isDeepStrictEqual } from 'node:util';
 import { rankNames } from '../model/rendezvous.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
@@ -7,16 +7,16 @@
 const SCORE_JITTER = 0.15;
 
 /**
- * The owner on the same machine costs one hop less: its score counts this much. A hop
- * is about half of the processor time of a request, so the local owner is worth some
- * waiting as long as it is not much busier than the others.
+ * Factor on the expected time of the owner on the same machine, which saves one hop. A hop takes
+ * about half of the processor time of a request, so the local owner is preferred even at some
+ * waiting time, unless it is much busier than the others.
  */
 const LOCAL_FACTOR = 0.5;
 
 /** Assumed service time, in milliseconds, when no owner has reported one. */
 const DEFAULT_SERVICE_MS = 20;
 
-/** The typical service time is worked out again after this time, in milliseconds. */
+/** Lifetime of the cached typical service time, in milliseconds. */
 const TYPICAL_LIFETIME_MS = 200;
 
 const BITS_PER_BYTE = 8;
@@ -24,64 +24,65 @@
 /** Bits that a link of 1 Mbit/s carries in a millisecond. */
 const BITS_PER_MS = 1_000;
 
-/** What is asked of an owner. */
+/** Criteria by which an owner is chosen. */
 export interface OwnerCriteria {
   readonly service: string;
   readonly priority: number;
-  /** True if an owner of the own zone is better than one elsewhere whose back end fails less. */
+  /** True if an owner of the own zone is preferred to one elsewhere whose back end fails less. */
   readonly prefersOwnZone: boolean;
-  /** Size of the request's body, if it is worth considering. */
+  /** Size of the request's body; left out if the transfer time does not matter. */
   readonly bodyBytes?: number;
-  /** True if owners elsewhere are asked first: several of the own zone have had no room. */
+  /** True if owners of other zones come first, since several of the own zone were full. */
   readonly prefersOtherZones?: boolean;
-  /** What placement policies say of an owner; left out where there are none. */
+  /** Whether placement policies allow an owner; left out if there are none. */
   readonly mayServe?: ((record: OwnerRecord) => boolean) | undefined;
 }
 
-/** Creates the entry of an owner. */
 export type EntryFactory = (record: OwnerRecord) => OwnerEntry;
 
-/** Owned by the node; takes the time as an argument. */
+/** Owned by the node. Every `now` is a monotonic time in milliseconds. */
 export class OwnerDirectory {
-  /** Rises with each owner that comes, changes or goes. */
+  /** Rises with each owner that is added, changed or removed. */
   generation = 0;
   private readonly entries = new Map<string, OwnerEntry>();
   private readonly byService = new Map<string, OwnerEntry[]>();
   private readonly byAddress = new Map<string, OwnerEntry>();
-  private readonly typical = new Map<string, { readonly ms: number; readonly until: number }>();
+  private readonly typicalCache = new Map<
+    string,
+    { readonly ms: number; readonly until: number }
+  >();
 
   constructor(
     private readonly zone: string,
     private readonly createEntry: EntryFactory,
     private readonly random: () => number = Math.random,
-    /** Megabits a second of this node's link; undefined when it is not known. */
+    /** Capacity of this node's link in megabits per second; undefined if not configured. */
     private readonly linkMbps?: number,
   ) {}
 
-  /** Every known owner. */
   all(): readonly OwnerEntry[] {
     return [...this.entries.values()];
   }
 
-  /** Number of known owners. */
+  /** Number of owners. */
   get size(): number {
     return this.entries.size;
   }
 
-  /** The entry whose node listens at an address. */
+  /** The entry of the node that listens on an address. */
   findByAddress(address: string): OwnerEntry | undefined {
     return this.byAddress.get(address);
   }
 
-  /** Adds an owner or replaces what was known of it, if that has changed. */
+  /** Adds an owner, or replaces its entry if the record has changed. */
   put(record: OwnerRecord): void {
-    const known = this.entries.get(record.node);
-    if (known && isSame(known.record, record)) {
+    const existing = this.entries.get(record.node);
+    if (existing && isSame(existing.record, record)) {
       return;
     }
-    // Two nodes cannot share an address: the older record is out of date.
-    const outdated = this.byAddress.get(record.address);
-    for (const old of new Set([known, outdated])) {
+    // Two nodes cannot share an address, so the older record is out of date.
+    const addressHolder = this.byAddress.get(record.address);
+    for (const old of new Set([existing, addressHolder])) {
       if (old) {
         this.removeFromIndexes(old);
       }
@@ -93,7 +94,7 @@
     this.byService.set(record.service, [...this.ownersOf(record.service), entry]);
   }
 
-  /** Forgets an owner; false if it was not known. */
+  /** Removes an owner; false if there was no entry of it. */
   remove(node: string): boolean {
     const entry = this.entries.get(node);
     if (entry) {
@@ -103,32 +104,36 @@
     return entry !== undefined;
   }
 
-  /** Owners of a service, whether or not they can be asked. */
+  /** Owners of a service, whether available or not. */
   ownersOf(service: string): readonly OwnerEntry[] {
     return this.byService.get(service) ?? [];
   }
 
-  /** The best owner for a task, or undefined when none is left. */
-  choose(wish: OwnerCriteria, tried: ReadonlySet<OwnerEntry>, now: number): OwnerEntry | undefined {
-    const typicalMs = this.typicalMs(wish.service, now);
+  /** The best available owner for a task that is not in `tried`; undefined if there is none. */
+  choose(
+    criteria: OwnerCriteria,
+    tried: ReadonlySet<OwnerEntry>,
+    now: number,
+  ): OwnerEntry | undefined {
+    const typicalMs = this.typicalMs(criteria.service, now);
     let best: OwnerEntry | undefined;
     let bestGroup = Number.POSITIVE_INFINITY;
     let bestScore = Number.POSITIVE_INFINITY;
-    for (const entry of this.ownersOf(wish.service)) {
-      if (tried.has(entry) || !entry.isAvailable(wish.priority, now)) {
+    for (const entry of this.ownersOf(criteria.service)) {
+      if (tried.has(entry) || !entry.isAvailable(criteria.priority, now)) {
         continue;
       }
-      if (wish.mayServe && !wish.mayServe(entry.record)) {
+      if (criteria.mayServe && !criteria.mayServe(entry.record)) {
         continue;
       }
-      const group = this.groupOf(entry, wish, now);
+      const group = this.groupOf(entry, criteria, now);
       if (group > bestGroup) {
         continue;
       }
       const jitter = 1 + this.random() * SCORE_JITTER;
       const factor = entry.isLocal ? LOCAL_FACTOR : 1;
       const expectedMs = entry.expectedMs(now, typicalMs) * jitter * factor;
-      const score = expectedMs + this.transferMs(entry, wish.bodyBytes ?? 0);
+      const score = expectedMs + this.transferMs(entry, criteria.bodyBytes ?? 0);
       if (group < bestGroup || score < bestScore) {
         best = entry;
         bestGroup = group;
@@ -139,8 +144,8 @@
   }
 
   /**
-   * The owner that has a role in a service: nodes that know the same owners name the same one, without
-   * asking one another.
+   * The owner that has a role in a service. Nodes with the same list of owners select the same one
+   * without communication.
    */
   ownerForRole(
     { service, mayServe = () => true }: Pick<OwnerCriteria, 'service' | 'mayServe'>,
@@ -156,14 +161,14 @@
     return present.find(({ record }) => record.node === first);
   }
 
-  /** Owners of a lower group are asked first: near ones, and those whose back ends do not fail. */
-  private groupOf(entry: OwnerEntry, wish: OwnerCriteria, now: number): number {
-    const away = this.isInOwnZone(entry) === (wish.prefersOtherZones ?? false) ? 1 : 0;
-    const failing = entry.isFailing(now) ? 1 : 0;
-    return wish.prefersOwnZone ? 2 * away + failing : 2 * failing + away;
+  /** Preference group by zone and failures of the back end; the lowest group is chosen first. */
+  private groupOf(entry: OwnerEntry, criteria: OwnerCriteria, now: number): number {
+    const zoneRank = this.isInOwnZone(entry) === (criteria.prefersOtherZones ?? false) ? 1 : 0;
+    const failureRank = entry.isFailing(now) ? 1 : 0;
+    return criteria.prefersOwnZone ? 2 * zoneRank + failureRank : 2 * failureRank + zoneRank;
   }
 
-  /** Milliseconds for which a body takes up the links between this node and an owner. */
+  /** Milliseconds that a body occupies the links of this node and of an owner. */
   private transferMs(entry: OwnerEntry, bodyBytes: number): number {
     if (entry.isLocal) {
       return 0;
@@ -172,23 +177,22 @@
     return links.reduce((sum, mbps) => sum + (bodyBytes * BITS_PER_BYTE) / (mbps * BITS_PER_MS), 0);
   }
 
-  /** Service time of a typical owner of a service, in milliseconds; worked out now and then. */
+  /** Median service time of a service's owners, in milliseconds; cached. */
   private typicalMs(service: string, now: number): number {
-    const known = this.typical.get(service);
-    if (known && now < known.until) {
-      return known.ms;
+    const existing = this.typicalCache.get(service);
+    if (existing && now < existing.until) {
+      return existing.ms;
     }
     const ms = median(this.ownersOf(service).flatMap((entry) => entry.meanServiceMs ?? []));
-    this.typical.set(service, { ms, until: now + TYPICAL_LIFETIME_MS });
+    this.typicalCache.set(service, { ms, until: now + TYPICAL_LIFETIME_MS });
     return ms;
   }
 
-  /** True for an owner in this node's zone. */
   isInOwnZone(entry: Pick<OwnerEntry, 'record'>): boolean {
     return entry.record.zone === this.zone;
   }
 
-  /** True while some owner in this node's zone that may serve is up, busy or not. */
+  /** True while an owner in this node's zone that may serve the task is up, busy or not. */
   hasOwnerInOwnZone({
     service,
     mayServe = () => true,
@@ -198,15 +202,14 @@
     );
   }
 
-  /** Milliseconds until some owner of a service may take a task again. */
+  /** Shortest remaining backoff of a service's present owners, in milliseconds; else infinity. */
   backoffMs(service: string, now: number): number {
-    const rests = this.ownersOf(service)
+    const backoffs = this.ownersOf(service)
       .filter((entry) => !entry.absenceReason)
       .map((entry) => entry.backoffMs(now));
-    return rests.length > 0 ? Math.min(...rests) : Number.POSITIVE_INFINITY;
+    return backoffs.length > 0 ? Math.min(...backoffs) : Number.POSITIVE_INFINITY;
   }
 
-  /** Takes an entry out of every index. */
   private removeFromIndexes(entry: OwnerEntry): void {
     const { node, address, service } = entry.record;
     this.generation += 1;
@@ -221,7 +224,7 @@
   }
 }
 
-/** The lower median, so that a few slow owners do not count as typical. */
+/** The lower median, so that a few slow owners do not raise the typical value. */
 function median(values: readonly number[]): number {
   const sorted = [...values].sort((left, right) => left - right);
   return sorted[Math.floor((sorted.length - 1) / 2)] ?? DEFAULT_SERVICE_MS;
--- a/src/directory/owner-entry.ts
+++ b/src/directory/owner-entry.ts
@@ -1,53 +1,53 @@
-/** What this node knows of one owner: from its reports and from what it has seen itself. */
+/** This node's state of one owner: the owner's reports, and the outcomes of this node's tasks. */
 import type { NotRunReason, Owner } from '../owner/owner.js';
 import type { PeerReport } from '../peer/peerMessages.js';
 
-/** Identity of a node that owns a back end. */
+/** Record of a node that owns a back end. */
 export interface OwnerRecord {
   readonly node: string;
-  /** `host:port` for other nodes. */
+  /** `host:port` at which other nodes reach it. */
   readonly address: string;
   readonly zone: string;
-  /** Service of the back end that runs beside the node. */
+  /** Service of the node's back end. */
   readonly service: string;
-  /** Megabits a second of the node's link, where its settings tell. */
+  /** Capacity of the node's link in megabits per second, if configured. */
   readonly linkMbps?: number;
-  /** For placement policies, where the settings tell them. */
+  /** Region and labels for placement policies, if configured. */
   readonly region?: string;
   readonly labels?: Readonly<Record<string, string>>;
-  /** True in the last record of a node that leaves for good: it lets nothing through any more. */
+  /** Mark in the last record of a node that leaves for good and accepts no more requests. */
   readonly hasLeft?: true;
 }
 
-/** Why an owner is not asked. */
+/** Why an owner is absent, that is, receives no tasks. */
 export type AbsenceReason = 'no-back-end' | 'draining' | 'stopping' | 'other-service' | 'silent';
 
-/** A report tells nothing of the present load after this time, in milliseconds. */
+/** A reported load loses its weight over this time, in milliseconds. */
 const REPORT_LIFETIME_MS = 1_000;
 
-/** A reported service time or failure share is believed less and less for so long, in milliseconds. */
+/** A reported service time or failure share loses its weight over this time, in milliseconds. */
 const SERVICE_TIME_LIFETIME_MS = 4_000;
 
-/** An owner that turned a task away as busy is left alone at the most this long, in milliseconds. */
+/** Longest backoff in milliseconds after an owner has rejected a task as busy. */
 const MAX_BACKOFF_MS = 60;
 
-/** A back end that fails this share of its tasks is asked after those that do not. */
+/** An owner whose back end fails this share of its tasks is chosen after the others. */
 const FAILING_SHARE = 0.2;
 
-/** A share above this makes no further difference. */
+/** Upper limit of the failure share in the expected time, which it would make infinite at 1. */
 const MAX_FAILURE_SHARE = 0.9;
 
-/** Assumed until an owner has reported. */
+/** Number of slots assumed until an owner has reported. */
 const DEFAULT_SLOTS = 4;
 
-/** Owned by the directory. */
+/** Owned by the directory. Every `now` is a monotonic time in milliseconds. */
 export class OwnerEntry {
-  /** Tasks of this node that the owner has not finished. */
+  /** Tasks that this node has sent to the owner and that are not finished. */
   outstanding = 0;
   absenceReason: AbsenceReason | undefined;
-  /** Steady time in milliseconds of the next status call while the owner is absent. */
+  /** Monotonic time in milliseconds of the next probe while the owner is absent. */
   probeAt = 0;
-  /** Status calls without success since the owner became absent. */
+  /** Unsuccessful probes since the owner became absent. */
   failedProbes = 0;
   private report: PeerReport | undefined;
   private version: string | undefined;
@@ -59,16 +59,19 @@
   constructor(
     readonly record: OwnerRecord,
     readonly owner: Owner,
-    /** Present report of the owner on this very node; left out for the others. */
+    /** Returns the current report of the owner on this node; left out for other owners. */
     private readonly localReport?: () => PeerReport,
   ) {}
 
-  /** True for the owner on this very node. */
+  /** True for the owner on this node. */
   get isLocal(): boolean {
     return this.localReport !== undefined;
   }
 
-  /** True when a task of this priority may be offered. */
+  /**
+   * True if a task of this priority may be offered. During a backoff, that is a task more urgent
+   * (of a lower number) than the rejected one.
+   */
   isAvailable(priority: number, now: number): boolean {
     if (this.absenceReason) {
       return false;
@@ -79,7 +82,10 @@
     return now >= this.backoffUntil || priority < this.backoffPriority;
   }
 
-  /** Version of the back end's software, as last told: an owner that has started anew tells it late. */
+  /**
+   * Last reported version of the back end's software. It is kept over reports without a version,
+   * since an owner that has restarted reports it late.
+   */
   get backEndVersion(): string | undefined {
     return this.localReport?.().backEndVersion ?? this.version;
   }
@@ -88,37 +94,37 @@
     return this.report?.slots || DEFAULT_SLOTS;
   }
 
-  /** Tasks at the owner, as far as known. */
+  /** Estimated number of tasks at the owner: this node's, and others' by the last report. */
   load(now: number): number {
     if (!this.report) {
       return this.outstanding;
     }
     const freshness = Math.max(0, 1 - (now - this.reportedAt) / REPORT_LIFETIME_MS);
-    const others = this.report.inFlight + this.report.queued - this.outstandingAtReport;
-    return this.outstanding + Math.max(0, others) * freshness;
+    const otherTasks = this.report.inFlight + this.report.queued - this.outstandingAtReport;
+    return this.outstanding + Math.max(0, otherTasks) * freshness;
   }
 
-  /** Expected time in milliseconds until one more task would be done. Lower is better. */
+  /** Expected time in milliseconds until one more task would be finished. Lower is better. */
   expectedMs(now: number, defaultServiceMs: number): number {
     const reportWeight = this.reportWeight(now);
     const reportedMs = this.report?.meanServiceMs ?? defaultServiceMs;
     const serviceMs = reportedMs * reportWeight + defaultServiceMs * (1 - reportWeight);
-    const onceMs = ((this.load(now) + 1) * serviceMs) / this.slots;
-    // What fails has to be done again, if it can be: the time until it succeeds.
-    return onceMs / (1 - Math.min(this.failureShare(now), MAX_FAILURE_SHARE));
+    const attemptMs = ((this.load(now) + 1) * serviceMs) / this.slots;
+    // A failed task has to be retried if possible: this is the time until an attempt succeeds.
+    return attemptMs / (1 - Math.min(this.failureShare(now), MAX_FAILURE_SHARE));
   }
 
-  /** Share of its tasks that the owner's back end fails, as far as that is still believed. */
+  /** Share of its tasks that the owner's back end fails, reduced by the report's age. */
   failureShare(now: number): number {
     return (this.report?.failureShare ?? 0) * this.reportWeight(now);
   }
 
-  /** True while the back end fails so much that others are asked first. */
+  /** True while the back end fails so many tasks that other owners are preferred. */
   isFailing(now: number): boolean {
     return this.failureShare(now) >= FAILING_SHARE;
   }
 
-  /** How far the last report is believed: from 1 to 0 as it grows old. */
+  /** Weight of the last report, from 1 to 0 as it ages. */
   private reportWeight(now: number): number {
     return Math.max(0, 1 - (now - this.reportedAt) / SERVICE_TIME_LIFETIME_MS);
   }
@@ -127,7 +133,7 @@
     return this.report?.meanServiceMs;
   }
 
-  /** Takes the owner's own report. */
+  /** Applies a report of the owner; one that is ready for its service ends the absence. */
   noteReport(report: PeerReport, now: number): void {
     this.noteLoad(report, now);
     if (report.ready && report.service === this.record.service) {
@@ -143,7 +149,7 @@
     this.outstandingAtReport = this.outstanding;
   }
 
-  /** Takes note of a task that was turned away. */
+  /** Records the rejection of a task. */
   noteRejection(
     reason: NotRunReason,
     priority: number,
@@ -169,7 +175,7 @@
     }
   }
 
-  /** The owner is not asked again until it has said that it is ready. */
+  /** Marks the owner as absent until it reports that it is ready. */
   markAbsent(absence: AbsenceReason, now: number): void {
     if (!this.absenceReason) {
       this.probeAt = now + FIRST_PROBE_MS;
@@ -178,16 +184,16 @@
     this.absenceReason = absence;
   }
 
-  /** The owner is known no longer. */
+  /** Releases the owner's resources; called when the entry is removed. */
   close(): void {
     this.owner.close?.();
   }
 
-  /** Milliseconds until the owner may be asked again. */
+  /** Remaining backoff in milliseconds. */
   backoffMs(now: number): number {
     return Math.max(0, this.backoffUntil - now);
   }
 }
 
-/** Time until an absent owner is first asked for its status, in milliseconds. */
+/** Time from the start of an absence to the first probe, in milliseconds. */
 const FIRST_PROBE_MS = 300;
--- a/src/directory/ownerProbes.ts
+++ b/src/directory/ownerProbes.ts
@@ -1,43 +1,42 @@
-/** Status calls between nodes: whether absent owners are back, and that the own one is ready. */
+/** Status calls to other nodes: probes of absent owners, and notices that this node is ready. */
 import type { Clock } from '../model/clock.js';
 import { rankNames } from '../model/rendezvous.js';
 import type { PeerReport } from '../peer/peerMessages.js';
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
-/** Waits between status calls to one absent owner, in milliseconds. */
-const FIRST_PROBE_WAIT_MS = 400;
-const LONGEST_PROBE_WAIT_MS = 4_000;
+/** Delays between probes of one absent owner, in milliseconds; each is twice the one before. */
+const FIRST_PROBE_DELAY_MS = 400;
+const MAX_PROBE_DELAY_MS = 4_000;
 
 /**
- * Absent owners of other zones that are asked in one look, at the most: ten a second, as the looks
- * are. Without a bound, a cut between two halves of n nodes makes each of them ask n / 2 others again
- * and again.
+ * Most absent owners of other zones that are probed per tick, which is ten a second. Without a
+ * limit, a partition of n nodes into halves makes each node probe n / 2 others over and over.
  */
-const FAR_PROBES_PER_LOOK = 1;
+const OTHER_ZONE_PROBES_PER_TICK = 1;
 
 /**
- * Nodes of other zones that are told at once when the back end becomes ready; of the own zone, all
- * are: they send it most of its work.
+ * Number of nodes in other zones that are notified at once when the back end becomes ready. In the
+ * own zone all nodes are, since they send it most of its tasks.
  */
-const FAR_ANNOUNCED = 8;
+const OTHER_ZONE_NODES_NOTIFIED = 8;
 
-/** What is needed of the directory's synchronisation. */
+/** Dependencies on the directory's synchronisation. */
 export interface OwnerProbesContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
   readonly own: () => OwnerRecord;
-  /** Tells the own status to a node and asks for its; undefined when it does not answer. */
+  /** Sends the own status to a node and returns the node's; undefined if it does not answer. */
   readonly exchangeStatus: (address: string) => Promise<PeerReport | undefined>;
   readonly onReport: (entry: OwnerEntry, report: PeerReport) => void;
 }
 
 export interface OwnerProbes {
-  /** Asks the absent owners that are due, those of the own zone first. */
+  /** Probes the absent owners that are due, those of the own zone first. */
   probeDue(): void;
   /**
-   * Tells the nodes of the own zone and a few of the others that the back end here is ready. The
-   * rest ask by themselves before long.
+   * Notifies the nodes of the own zone and a few of other zones that the back end of this node is
+   * ready. The remaining nodes find out by their own probes.
    */
   announceReady(): void;
   isAlive(node: string): Promise<boolean>;
@@ -45,7 +44,7 @@
 
 export function createOwnerProbes(context: OwnerProbesContext): OwnerProbes {
   const { clock, directory, own, exchangeStatus, onReport } = context;
-  const ask = async (entry: OwnerEntry): Promise<boolean> => {
+  const probe = async (entry: OwnerEntry): Promise<boolean> => {
     const report = await exchangeStatus(entry.record.address);
     if (report) {
       onReport(entry, report);
@@ -58,33 +57,36 @@
       const due = directory
         .all()
         .filter((entry) => entry.absenceReason && !entry.isLocal && now >= entry.probeAt);
-      const near = due.filter((entry) => directory.isInOwnZone(entry));
-      const far = due
+      const inOwnZone = due.filter((entry) => directory.isInOwnZone(entry));
+      const inOtherZones = due
         .filter((entry) => !directory.isInOwnZone(entry))
         .sort((left, right) => left.probeAt - right.probeAt);
-      for (const entry of [...near, ...far.slice(0, FAR_PROBES_PER_LOOK)]) {
-        entry.probeAt = now + probeWaitMs(entry.failedProbes);
+      for (const entry of [...inOwnZone, ...inOtherZones.slice(0, OTHER_ZONE_PROBES_PER_TICK)]) {
+        entry.probeAt = now + probeDelayMs(entry.failedProbes);
         entry.failedProbes += 1;
-        void ask(entry);
+        void probe(entry);
       }
     },
     announceReady: () => {
       const others = directory.all().filter((entry) => !entry.isLocal);
       const addressOf = (entry: OwnerEntry) => entry.record.address;
-      const near = others.filter((entry) => directory.isInOwnZone(entry)).map(addressOf);
-      const far = others.filter((entry) => !directory.isInOwnZone(entry)).map(addressOf);
-      // Each node tells others, so that together they reach all.
-      for (const address of [...near, ...rankNames(own().node, far).slice(0, FAR_ANNOUNCED)]) {
+      const inOwnZone = others.filter((entry) => directory.isInOwnZone(entry)).map(addressOf);
+      const inOtherZones = others.filter((entry) => !directory.isInOwnZone(entry)).map(addressOf);
+      // The rank depends on the node's name, so different nodes notify different ones.
+      for (const address of [
+        ...inOwnZone,
+        ...rankNames(own().node, inOtherZones).slice(0, OTHER_ZONE_NODES_NOTIFIED),
+      ]) {
         void exchangeStatus(address);
       }
     },
     isAlive: async (node) => {
       const entry = directory.all().find(({ record }) => record.node === node);
-      return entry !== undefined && (await ask(entry));
+      return entry !== undefined && (await probe(entry));
     },
   };
 }
 
-function probeWaitMs(failures: number): number {
-  return Math.min(FIRST_PROBE_WAIT_MS * 2 ** failures, LONGEST_PROBE_WAIT_MS);
+function probeDelayMs(failures: number): number {
+  return Math.min(FIRST_PROBE_DELAY_MS * 2 ** failures, MAX_PROBE_DELAY_MS);
 }
--- a/src/directory/ownerRecord.ts
+++ b/src/directory/ownerRecord.ts
@@ -1,8 +1,8 @@
-/** The record by which a node is found, checked: what another writer left in its place is none. */
+/** Schema of the records by which nodes find one another; objects that do not match are ignored. */
 import * as z from 'zod';
 import type { OwnerRecord } from './owner-entry.js';
 
-/** `host:port`, as a connection can be made to. */
+/** `host:port` with a numeric port. */
 const ADDRESS = /^[^\s:/]+:\d{1,5}$/;
 
 const recordSchema = z.object({
@@ -16,12 +16,15 @@
   hasLeft: z.literal(true).optional(),
 });
 
-/** True for a record as the store keeps it: the object's name counts as the node's. */
+/** True for a record as stored; `node` may be missing, since the object's name is the node's. */
 export function isOwnerRecord(value: unknown): value is OwnerRecord {
   return recordSchema.safeParse(value).success;
 }
 
-/** The records that another node has told; those that cannot be read are left out. */
+/**
+ * Parses another node's list of owners. Invalid records are left out. Undefined if the bytes are
+ * not a JSON array.
+ */
 export function readOwnerRecords(bytes: Buffer): OwnerRecord[] | undefined {
   try {
     const records: unknown = JSON.parse(bytes.toString('utf8'));
--- a/src/directory/quotaMembers.test.ts
+++ b/src/directory/quotaMembers.test.ts
@@ -6,7 +6,7 @@
 
 const NO_OWNER: Owner = { run: () => Promise.reject(new Error('not used')) };
 
-it('count a node whose record is gone for two minutes, and change only when nodes do', () => {
+it('keeps a node for two minutes without a record, and the same array until a change', () => {
   let now = 0;
   const directory = new OwnerDirectory('a', (each) => new OwnerEntry(each, NO_OWNER));
   const put = (node: string) =>
@@ -28,7 +28,7 @@
   expect(names()).toEqual(['1', '2']);
 });
 
-it('do not count a node that has left by its own word, until it is back', () => {
+it('removes a node that has marked its departure, until it is back', () => {
   const directory = new OwnerDirectory('a', (each) => new OwnerEntry(each, NO_OWNER));
   const put = (node: string) =>
     directory.put({ node, address: `10.0.0.1:${node}`, zone: 'a', service: 'desk' });
--- a/src/directory/quotaMembers.ts
+++ b/src/directory/quotaMembers.ts
@@ -1,44 +1,47 @@
 /**
- * The nodes among which quotas are cut into parts. A node whose record is gone counts for a while yet: it may
- * be cut off and go on letting requests through, and what is left out of use of a limit is little as long as
- * most nodes are there.
+ * The nodes among which quotas are divided into parts. A node whose record is gone stays a member
+ * for some time, since it may be cut off and still admit requests. The part of a quota that stays
+ * unused meanwhile is small as long as most nodes are up.
  */
 import { isDeepStrictEqual } from 'node:util';
 import type { Clock } from '../model/clock.js';
 import type { QuotaMember } from '../tenants/quotaParts.js';
 import type { OwnerDirectory } from './owner-directory.js';
 
-/** A node that is gone counts this long, in milliseconds: longer than a zone is cut off for, as a rule. */
+/** Time in milliseconds that a gone node stays a member; a zone is usually cut off for less. */
 const DEPARTED_MS = 120_000;
 
 export interface QuotaMembers {
-  /** In the order of their names; the same list as before unless there is a change. */
+  /** The members, sorted by name; the same array as before if nothing has changed. */
   list(): readonly QuotaMember[];
-  /** The node has left by its own word: it lets nothing through any more, and does not count. */
+  /** Removes a node that has marked its departure: it admits no more requests. */
   noteLeft(node: string): void;
 }
 
 export function createQuotaMembers(directory: OwnerDirectory, clock: Clock): QuotaMembers {
-  const seen = new Map<string, { readonly member: QuotaMember; readonly at: number }>();
+  const lastSeen = new Map<string, { readonly member: QuotaMember; readonly seenAt: number }>();
   let members: readonly QuotaMember[] = [];
   return {
     list: () => {
       const now = clock.now();
       for (const { record } of directory.all()) {
-        seen.set(record.node, { member: { node: record.node, zone: record.zone }, at: now });
+        lastSeen.set(record.node, {
+          member: { node: record.node, zone: record.zone },
+          seenAt: now,
+        });
       }
-      for (const [node, { at }] of seen) {
-        if (now - at > DEPARTED_MS) {
-          seen.delete(node);
+      for (const [node, { seenAt }] of lastSeen) {
+        if (now - seenAt > DEPARTED_MS) {
+          lastSeen.delete(node);
         }
       }
-      const names = [...seen.keys()].sort();
-      const next = names.flatMap((name) => seen.get(name)?.member ?? []);
+      const names = [...lastSeen.keys()].sort();
+      const next = names.flatMap((name) => lastSeen.get(name)?.member ?? []);
       members = isDeepStrictEqual(next, members) ? members : next;
       return members;
     },
     noteLeft: (node) => {
-      seen.delete(node);
+      lastSeen.delete(node);
     },
   };
 }
