--- a/src/directory/crashRecord.ts
+++ b/src/directory/crashRecord.ts
@@ -1,15 +1,15 @@
-/** The records of crashes in the store, checked: what another writer left in their place is none. */
+/** Schema of the crash records in the store; objects that do not match are ignored. */
 import * as z from 'zod';
 
-/** Kind of the records; each has the name of the back end's life that ended. */
+/** Kind of the records; a record is named after the incarnation that crashed. */
 export const CRASH_KIND = 'spindlepaddle-crashes';
 
 const requestSchema = z.object({
   /** See `fingerprintOf`. */
   fingerprint: z.string().min(1),
-  /** Service that the request came from. */
+  /** Service that sent the request. */
   caller: z.string().min(1),
-  /** Back ends that had crashed under the request. */
+  /** Number of back ends that have crashed while they ran the request. */
   crashes: z.int().nonnegative(),
 });
 
@@ -20,7 +20,10 @@
 
 export type CrashedRequest = Readonly<z.infer<typeof requestSchema>>;
 
-/** A crash as the store keeps it: of what was under way, that which had been under a crash before. */
+/**
+ * A crash as stored. Of the requests in flight at the crash it lists only those that had also been
+ * in flight at an earlier one.
+ */
 export type CrashRecord = Readonly<z.infer<typeof recordSchema>>;
 
 export function isCrashRecord(value: unknown): value is CrashRecord {
--- a/src/directory/crashRecords.ts
+++ b/src/directory/crashRecords.ts
@@ -1,7 +1,7 @@
 /**
- * The records of crashes in the store, as this node knows them. Operators remove one to lift a quarantine;
- * one that the store has lost, as it came back from a copy, is written again, and one that has come back
- * with the copy, though it was removed, is removed again.
+ * This node's copy of the crash records in the store. An operator removes a record to lift a
+ * quarantine. When the store is restored from a copy, a record that the copy lacks is written
+ * again, and a record that was removed but is in the copy is removed again.
  */
 
 import { createRecentNames } from '../model/recentNames.js';
@@ -15,30 +15,30 @@
 import { CRASH_KIND, type CrashRecord, isCrashRecord } from './crashRecord.js';
 import type { StaggeredRepairs } from './staggeredRepairs.js';
 
-/** Pause before a record that could not be written is written again, in milliseconds, give or take a half. */
+/** Mean delay in milliseconds before a failed write is retried; it varies by up to a half. */
 const WRITE_RETRY_MS = 1_000;
 
-/** Names of removed records that are remembered. */
+/** Number of removed records whose names are kept, to remove them again if they are restored. */
 const MAX_REMOVED = 1_000;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface CrashRecordsContext {
   readonly store: ObjectStore;
   readonly repairs: StaggeredRepairs;
   readonly timing: WatchTiming;
+  /** False once the record has no effect any more; it is not written then. */
   readonly isRelevant: (record: CrashRecord) => boolean;
   readonly onRecord: (record: CrashRecord) => void;
-  /** A record was removed. */
   readonly onRemoved: (record: CrashRecord) => void;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
-  /** The record of this name cannot be read. */
+  /** Called for a record that does not match the schema. */
   readonly onUnreadable: (name: string) => void;
 }
 
 export interface CrashRecords {
-  /** Those that the store holds, with their names. */
+  /** The records in the store, as last read, with their names. */
   all(): readonly (readonly [name: string, record: CrashRecord])[];
-  /** Writes a record until the store holds one of that name, or it is of no use any more. */
+  /** Retries until the store holds a record of that name or the record is no longer relevant. */
   write(name: string, record: CrashRecord): Promise<void>;
   remove(name: string): void;
   start(): void;
@@ -49,8 +49,8 @@
   const { store, repairs, timing, isRelevant, onRecord, onRemoved, onConnected, onUnreadable } =
     context;
   const stored = new Map<string, StoredObject<CrashRecord>>();
-  /** Each name is that of a back end's life: none is used twice. */
-  const removed = createRecentNames(MAX_REMOVED);
+  /** Each name belongs to one incarnation, so no name is used twice. */
+  const removedNames = createRecentNames(MAX_REMOVED);
   let isStopped = false;
 
   const write = async (name: string, record: CrashRecord): Promise<void> => {
@@ -67,25 +67,25 @@
     void store.remove(CRASH_KIND, name, revision);
   };
 
-  /** The store had it at one revision, and hasn't at another. */
-  const takeAbsence = (name: string, had: number, revision: number): void => {
+  /** Handles a record that the store held at `seenRevision` and no longer holds at `revision`. */
+  const handleAbsence = (name: string, seenRevision: number, revision: number): void => {
     const object = stored.get(name);
-    if (object && mayBeLost(had, revision)) {
-      // Taken for an operator's word it would let the request crash more back ends.
+    if (object && mayBeLost(seenRevision, revision)) {
+      // Treating the loss as a removal by an operator would let the request crash more back ends.
       repairs.schedule(name, () => void write(name, object.spec));
       return;
     }
     repairs.cancel(name);
-    removed.add(name);
+    removedNames.add(name);
     stored.delete(name);
     if (object) {
       onRemoved(object.spec);
     }
   };
 
-  const takeObject = ({ name, revision, spec }: StoredObject<unknown>): void => {
+  const handleObject = ({ name, revision, spec }: StoredObject<unknown>): void => {
     repairs.cancel(name);
-    if (removed.has(name)) {
+    if (removedNames.has(name)) {
       repairs.schedule(name, () => removeAt(name, revision));
       return;
     }
@@ -108,16 +108,16 @@
         const present = new Set(objects.map(({ name }) => name));
         for (const object of [...stored.values()]) {
           if (!present.has(object.name)) {
-            takeAbsence(object.name, object.revision, revision);
+            handleAbsence(object.name, object.revision, revision);
           }
         }
-        objects.forEach(takeObject);
+        objects.forEach(handleObject);
       },
-      onChange: (object, gone, revision) => {
-        if (gone) {
-          takeAbsence(object.name, object.revision, revision);
+      onChange: (object, isRemoved, revision) => {
+        if (isRemoved) {
+          handleAbsence(object.name, object.revision, revision);
         } else {
-          takeObject(object);
+          handleObject(object);
         }
       },
       onConnected,
--- a/src/directory/quarantineSync.ts
+++ b/src/directory/quarantineSync.ts
@@ -1,7 +1,8 @@
 /**
- * Keeps the crash ledgers of all nodes in step. News goes from node to node at once, also while the
- * store is away. Crashes of suspects are kept in the store as well, for nodes that start later, also after
- * all have lost power, and for operators, who lift a quarantine by removing the record of its crash.
+ * Synchronises the crash trackers of all nodes. Announcements go from node to node at once, even
+ * while the store is down. Crashes under suspects are written to the store as well: for nodes that
+ * start later, also after a power loss of all nodes, and for operators, who lift a quarantine by
+ * removing its crash record.
  */
 import type { Clock } from '../model/clock.js';
 import { rankNames } from '../model/rendezvous.js';
@@ -26,13 +27,13 @@
 import type { OwnerRecord } from './owner-entry.js';
 import { createStaggeredRepairs } from './staggeredRepairs.js';
 
-/** Pause between two looks for records that are of no use any more, in milliseconds. */
-const CLEANING_MS = 30_000;
+/** Interval in milliseconds between searches for crash records without effect. */
+const CLEANUP_INTERVAL_MS = 30_000;
 
-/** What has become of a quarantine here, and who said so. */
+/** Change of a quarantine at this node, for the log. */
 export type QuarantineChange = 'begun' | 'lifted' | 'cleared';
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface QuarantineSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
@@ -42,32 +43,36 @@
   readonly own: () => OwnerRecord;
   readonly timing: WatchTiming;
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
+  /** `origin` is `own`, `store` or the address of the node that has sent the announcement. */
   readonly onQuarantineChange: (
     key: RequestKey,
     change: QuarantineChange,
     origin: string,
     crashes: number,
   ) => void;
-  /** A record of this name, or news, cannot be read; `origin` is `store` or the address of a node. */
+  /**
+   * Called for a crash record (with its name) or an announcement (as `news`) that is not valid.
+   * `origin` is `store` or the address of the node that has sent the announcement.
+   */
   readonly onUnreadable: (name: string, origin: string) => void;
 }
 
 export interface QuarantineSync {
   start(): void;
   stop(): void;
-  /** Something was found out here. */
-  publish(news: CrashAnnouncement): void;
+  /** Sends what this node's crash tracker has found to the other nodes, and records crashes. */
+  publish(announcement: CrashAnnouncement): void;
 }
 
 export function createQuarantineSync(context: QuarantineSyncContext): QuarantineSync {
   const { clock, store, ledger, directory, broadcast, own, timing, onConnected } = context;
   const { onQuarantineChange, onUnreadable } = context;
-  let cleaning: NodeJS.Timeout | undefined;
+  let cleanupTimer: NodeJS.Timeout | undefined;
 
-  const note = (key: RequestKey, change: QuarantineChange, origin: string): void =>
+  const reportChange = (key: RequestKey, change: QuarantineChange, origin: string): void =>
     onQuarantineChange(key, change, origin, ledger.crashesOf(key.fingerprint));
 
-  const counted = (keys: readonly RequestKey[]): CrashedRequest[] =>
+  const suspectRequests = (keys: readonly RequestKey[]): CrashedRequest[] =>
     keys
       .map((key) => ({ ...key, crashes: ledger.crashesOf(key.fingerprint) }))
       .filter(({ crashes }) => crashes >= SUSPECT_CRASHES);
@@ -88,76 +93,76 @@
       }
       for (const key of quarantined) {
         if (ledger.applyQuarantine(key, clock.now())) {
-          note(key, 'begun', 'store');
+          reportChange(key, 'begun', 'store');
         }
       }
     },
     onRemoved: ({ quarantined }) => {
       for (const key of quarantined) {
         ledger.lift(key);
-        note(key, 'lifted', 'store');
+        reportChange(key, 'lifted', 'store');
       }
     },
     onConnected,
     onUnreadable: (name) => onUnreadable(name, 'store'),
   });
 
-  /** What ran to its end is not quarantined by anything that the store says. */
-  const removeQuarantineOf = ({ fingerprint, caller: from }: RequestKey): void => {
+  /** Removes the records that quarantine a request which has since run to its end. */
+  const removeQuarantineOf = ({ fingerprint, caller: service }: RequestKey): void => {
     for (const [name, { quarantined }] of records.all()) {
-      if (quarantined.some((key) => key.fingerprint === fingerprint && key.caller === from)) {
-        // Should that fail, the record is found by the next cleaning.
+      if (quarantined.some((key) => key.fingerprint === fingerprint && key.caller === service)) {
+        // If the removal fails, the next cleanup removes the record.
         records.remove(name);
       }
     }
   };
 
-  /** Of all nodes the first one by rank removes what is of no use any longer. */
-  const clean = (): void => {
+  /** Removes records without effect, if this node is the first by rank for the record. */
+  const removeExpired = (): void => {
     for (const [name, { suspects }] of records.all()) {
-      const isOver = !suspects.some(isSuspect);
-      if (isOver && rankNames(name, nodes())[0] === own().node) {
+      const isExpired = !suspects.some(isSuspect);
+      if (isExpired && rankNames(name, nodes())[0] === own().node) {
         records.remove(name);
       }
     }
   };
 
-  const noteQuarantined = (keys: readonly RequestKey[], origin: string): void => {
+  const reportQuarantines = (keys: readonly RequestKey[], origin: string): void => {
     for (const key of keys) {
-      note(key, 'begun', origin);
+      reportChange(key, 'begun', origin);
     }
   };
 
-  broadcast.subscribe(AnnouncementTopic.Crashes, (content, from) => {
-    const news = decodeCrashAnnouncement(content);
-    if (news) {
-      noteQuarantined(ledger.applyAnnouncement(news, clock.now()), from);
+  broadcast.subscribe(AnnouncementTopic.Crashes, (content, sender) => {
+    const announcement = decodeCrashAnnouncement(content);
+    if (announcement) {
+      reportQuarantines(ledger.applyAnnouncement(announcement, clock.now()), sender);
     } else {
-      onUnreadable('news', from);
+      onUnreadable('news', sender);
     }
   });
 
   return {
     start: () => {
-      cleaning = setInterval(clean, CLEANING_MS);
+      cleanupTimer = setInterval(removeExpired, CLEANUP_INTERVAL_MS);
       records.start();
     },
     stop: () => {
-      clearInterval(cleaning);
+      clearInterval(cleanupTimer);
       records.stop();
     },
-    publish: (news) => {
-      broadcast.publish(AnnouncementTopic.Crashes, encodeCrashAnnouncement(news));
-      noteQuarantined(news.quarantined, 'own');
-      if (news.incarnation !== undefined) {
-        // First crashes are of no use there: most of what was under way runs to its end at once.
-        void records.write(news.incarnation, {
-          suspects: counted(news.suspects),
-          quarantined: counted(news.quarantined),
+    publish: (announcement) => {
+      broadcast.publish(AnnouncementTopic.Crashes, encodeCrashAnnouncement(announcement));
+      reportQuarantines(announcement.quarantined, 'own');
+      if (announcement.incarnation !== undefined) {
+        // First crashes are not written: most of the requests in flight soon run to their end.
+        void records.write(announcement.incarnation, {
+          suspects: suspectRequests(announcement.suspects),
+          quarantined: suspectRequests(announcement.quarantined),
         });
       }
-      for (const key of news.cleared) {
-        note(key, 'cleared', 'own');
+      for (const key of announcement.cleared) {
+        reportChange(key, 'cleared', 'own');
         removeQuarantineOf(key);
       }
     },
