--- a/src/directory/ownerNotifier.ts
+++ b/src/directory/ownerNotifier.ts
@@ -1,4 +1,4 @@
-/** The decider's words to the owners of the version: how many requests each may let through. */
+/** Sends the owners of the target version their limits: how many requests each may let through. */
 import type { Clock } from '../model/clock.js';
 import type { PeerClient } from '../peer/peerClient.js';
 import { AnnouncementTopic } from '../peer/peerMessages.js';
@@ -15,69 +15,70 @@
 import type { OwnerDirectory } from './owner-directory.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
-/** A limit that has risen is told to its owner so often, in milliseconds, while there is time, ... */
+/** Interval in milliseconds at which changed limits that are not urgent are sent to an owner. */
 const LIMIT_RENEWAL_MS = 500;
 
-/** ... and one that has not so often, since a word may be lost. */
+/** Interval in milliseconds at which an unchanged limit is sent again, as messages may be lost. */
 const SAME_LIMIT_RENEWAL_MS = 2_000;
 
-/** A call that tells an owner something takes no longer, in milliseconds. */
+/** Timeout in milliseconds of sending a message to an owner. */
 const SEND_TIMEOUT_MS = 500;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface OwnerNotifierContext {
   readonly clock: Clock;
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly directory: Pick<OwnerDirectory, 'ownersOf'>;
   readonly own: () => OwnerRecord;
-  /** A limit of the owner here. */
-  readonly onLocalLimit: (news: LimitMessage) => void;
+  /** Receives a limit for the owner on this node. */
+  readonly onLocalLimit: (message: LimitMessage) => void;
 }
 
-/** What each count of an owner was told last, and when. */
+/** The last limit sent for each of the owners' counts (by `countId`), and when it was sent. */
 export type SentLimits = Map<string, RunLimit & { readonly at: number }>;
 
 export interface OwnerNotifier {
-  /** Tells each owner of the plan its limit, if it is time to. */
-  sendLimits(rollout: RunningRollout, step: RolloutStep, toldLimits: SentLimits): void;
-  /** Tells one owner something. */
-  send(owner: OwnerEntry, news: RolloutMessage): void;
+  /** Sends each owner of the plan its limit, if that is due. */
+  sendLimits(rollout: RunningRollout, step: RolloutStep, sentLimits: SentLimits): void;
+  send(owner: OwnerEntry, message: RolloutMessage): void;
 }
 
 export function createOwnerNotifier(context: OwnerNotifierContext): OwnerNotifier {
   const { clock, caller, directory, own, onLocalLimit } = context;
 
-  const send = ({ record }: OwnerEntry, news: RolloutMessage): void => {
-    const content = encodeRolloutMessage(news);
-    const message = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
-    void caller.sendAnnouncement(record.address, message, SEND_TIMEOUT_MS);
+  const send = ({ record }: OwnerEntry, message: RolloutMessage): void => {
+    const content = encodeRolloutMessage(message);
+    const announcement = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
+    void caller.sendAnnouncement(record.address, announcement, SEND_TIMEOUT_MS);
   };
 
-  const tellOwner = (news: LimitMessage): void => {
-    if (news.node === own().node) {
-      onLocalLimit(news);
+  const sendLimit = (message: LimitMessage): void => {
+    if (message.node === own().node) {
+      onLocalLimit(message);
       return;
     }
-    const owner = directory.ownersOf(news.service).find(({ record }) => record.node === news.node);
+    const owner = directory
+      .ownersOf(message.service)
+      .find(({ record }) => record.node === message.node);
     if (owner) {
-      send(owner, news);
+      send(owner, message);
     }
   };
 
   return {
     send,
-    sendLimits: ({ order, phase }, { limits, isUnlimited }, toldLimits) => {
+    sendLimits: ({ order, phase }, { limits, isUnlimited }, sentLimits) => {
       const { service, id: orderId } = order;
       const now = clock.now();
       for (const { node, countId, limit } of limits) {
-        const told = toldLimits.get(countId);
-        const isNew = told?.limit !== limit || told.isUnlimited !== isUnlimited;
-        const isUrgent = isLeased(phase) || told?.isUnlimited !== isUnlimited;
-        const paceMs = isNew ? LIMIT_RENEWAL_MS : SAME_LIMIT_RENEWAL_MS;
-        if ((isNew && isUrgent) || now - (told?.at ?? Number.NEGATIVE_INFINITY) >= paceMs) {
-          toldLimits.set(countId, { limit, isUnlimited, at: now });
+        const last = sentLimits.get(countId);
+        const isNew = last?.limit !== limit || last.isUnlimited !== isUnlimited;
+        const isUrgent = isLeased(phase) || last?.isUnlimited !== isUnlimited;
+        const intervalMs = isNew ? LIMIT_RENEWAL_MS : SAME_LIMIT_RENEWAL_MS;
+        if ((isNew && isUrgent) || now - (last?.at ?? Number.NEGATIVE_INFINITY) >= intervalMs) {
+          sentLimits.set(countId, { limit, isUnlimited, at: now });
           const kind = RolloutMessageKind.Limit;
-          tellOwner({ kind, service, orderId, node, countId, limit, isUnlimited });
+          sendLimit({ kind, service, orderId, node, countId, limit, isUnlimited });
         }
       }
     },
--- a/src/directory/rolloutController.test.ts
+++ b/src/directory/rolloutController.test.ts
@@ -1,4 +1,7 @@
-/** What a decider tells and writes, without a network: one of two that decide yields, and no phase is taken back. */
+/**
+ * Phases published by a leader, without a network. Guards against two nodes that both act as the
+ * leader and revert each other's phases, and against a phase that is reverted during completion.
+ */
 import { describe, expect, it } from 'vitest';
 import { rankNames } from '../model/rendezvous.js';
 import {
@@ -21,21 +24,21 @@
   state: RolloutState.Running,
 };
 
-/** A node by rank that is told by half of the owners. */
+/** One of two nodes; its election always names it as the leader, as if half of the owners did. */
 function setUp(name: string) {
   let now = 0;
   let pending: RolloutState | undefined;
   const clock = { now: () => now };
   const rollouts = createRolloutTracker({ clock, staleMs: () => 3_000 });
-  const told: PhaseMessage[] = [];
-  const passedOn: string[] = [];
+  const published: PhaseMessage[] = [];
+  const forwardedTo: string[] = [];
   const entries = [FIRST, SECOND].map((node) => ({
     record: { node, address: node, zone: 'zone-a' },
     absenceReason: undefined,
     isLocal: node === name,
   })) as unknown as OwnerEntry[];
   const own = entries.find(({ isLocal }) => isLocal) as OwnerEntry;
-  const steering = createRolloutController({
+  const controller = createRolloutController({
     clock,
     rollouts,
     election: {
@@ -49,7 +52,7 @@
     caller: {
       sendAnnouncement: (address, { content }) => {
         if (decodeRolloutMessage(content)?.kind === RolloutMessageKind.Evidence) {
-          passedOn.push(address);
+          forwardedTo.push(address);
         }
         return Promise.resolve(true);
       },
@@ -58,30 +61,30 @@
     contactMs: () => 3_000,
     bounds: () => ({ exposureShare: 0.1, exposureSlack: 50 }),
     writer: () => ({ write: () => {}, pending: () => pending }),
-    onPhase: (news) => {
-      told.push(news);
-      rollouts.applyPhase(news);
+    onPhase: (message) => {
+      published.push(message);
+      rollouts.applyPhase(message);
     },
     onLocalLimit: () => {},
     onChange: () => {},
   });
   rollouts.applyOrder(ORDER);
-  const steer = () => {
+  const reconcile = () => {
     const rollout = rollouts.running('desk');
     if (rollout) {
-      steering.reconcile(rollout);
+      controller.reconcile(rollout);
     }
   };
   return {
-    steering,
+    controller,
     rollouts,
-    told,
-    passedOn,
-    steer,
-    pass: (ms: number) => {
+    published,
+    forwardedTo,
+    reconcile,
+    advance: (ms: number) => {
       now += ms;
     },
-    write: (state: RolloutState) => {
+    setPending: (state: RolloutState) => {
       pending = state;
     },
   };
@@ -106,48 +109,50 @@
   counts: new Map(),
 };
 
-describe('two nodes that both decide', () => {
-  // They took back each other's phases, and a good version was late: half of the owners told each of them.
-  it('leaves the phases to the first by rank, and passes on what it is told', () => {
-    const { steering, steer, told, passedOn } = setUp(SECOND);
-    steering.noteLeader('desk', FIRST);
-    steering.receiveEvidence(EVIDENCE);
-    steer();
-    expect(told).toEqual([]);
-    expect(passedOn).toEqual([FIRST]);
+// Half of the owners reported to each node. The nodes reverted each other's phases, which delayed
+// the roll-out of a good version.
+describe('when two nodes both act as the leader', () => {
+  it('the second by rank publishes no phase and forwards its reports to the first', () => {
+    const { controller, reconcile, published, forwardedTo } = setUp(SECOND);
+    controller.noteLeader('desk', FIRST);
+    controller.receiveEvidence(EVIDENCE);
+    reconcile();
+    expect(published).toEqual([]);
+    expect(forwardedTo).toEqual([FIRST]);
   });
 
-  it('decides as the first by rank, though the second has told a phase', () => {
-    const { steering, steer, told, passedOn } = setUp(FIRST);
-    steering.noteLeader('desk', SECOND);
-    steering.receiveEvidence(EVIDENCE);
-    steer();
-    expect(told.map(({ phase }) => phase)).toEqual([RolloutPhase.Watch]);
-    expect(passedOn).toEqual([]);
+  it('the first by rank decides although the second has published a phase', () => {
+    const { controller, reconcile, published, forwardedTo } = setUp(FIRST);
+    controller.noteLeader('desk', SECOND);
+    controller.receiveEvidence(EVIDENCE);
+    reconcile();
+    expect(published.map(({ phase }) => phase)).toEqual([RolloutPhase.Watch]);
+    expect(forwardedTo).toEqual([]);
   });
 
-  it('decides again when the other is silent for a while, or resigns', () => {
+  it('the second decides again when the first is silent for 2.5 s or resigns', () => {
     const silent = setUp(SECOND);
-    silent.steering.noteLeader('desk', FIRST);
-    silent.pass(2_600);
-    silent.steer();
-    expect(silent.told.length).toBe(1);
+    silent.controller.noteLeader('desk', FIRST);
+    silent.advance(2_600);
+    silent.reconcile();
+    expect(silent.published.length).toBe(1);
     const resigned = setUp(SECOND);
-    resigned.steering.noteLeader('desk', FIRST);
-    resigned.steering.noteResigned('desk', FIRST);
-    resigned.steer();
-    expect(resigned.told.length).toBe(1);
+    resigned.controller.noteLeader('desk', FIRST);
+    resigned.controller.noteResigned('desk', FIRST);
+    resigned.reconcile();
+    expect(resigned.published.length).toBe(1);
   });
 });
 
-// The others may be stopped as soon as the write arrives: what went back to them was cut.
-it('gives the others nothing new while the status of completion is being written', () => {
-  const { rollouts, steering, steer, told, write } = setUp(FIRST);
+// The other versions may be stopped as soon as the status arrives in the store. Requests that were
+// sent to them again during the write were cut off.
+it('does not go back to the Watch phase while the completed status is being written', () => {
+  const { rollouts, controller, reconcile, published, setPending } = setUp(FIRST);
   const phase = { service: 'desk', orderId: '1', ageMs: 0, versions: [] };
-  steering.receiveEvidence(EVIDENCE);
+  controller.receiveEvidence(EVIDENCE);
   rollouts.applyPhase({ ...phase, phase: RolloutPhase.Shift });
-  write(RolloutState.Completed);
-  steer();
-  expect(told.filter((news) => news.phase === RolloutPhase.Watch)).toEqual([]);
+  setPending(RolloutState.Completed);
+  reconcile();
+  expect(published.filter((message) => message.phase === RolloutPhase.Watch)).toEqual([]);
   expect(rollouts.running('desk')?.phase).toBe(RolloutPhase.Shift);
 });
--- a/src/directory/rolloutController.ts
+++ b/src/directory/rolloutController.ts
@@ -1,3 +1,8 @@
+/**
+ * The leader's part in a roll-out: feeds the owners' reports to the decider, publishes its phases
+ * and limits, and has the order's status written. Two nodes may both count as the leader while
+ * their lists of nodes differ; then the second by rank yields and forwards its reports.
+ */
 import { rankNames } from '../model/rendezvous.js';
 import { AnnouncementTopic } from '../peer/peerMessages.js';
 import type { ExposureBounds } from '../rollout/exposure.js';
@@ -32,33 +37,39 @@
 import { decisionLogFields } from './rolloutLog.js';
 import type { RolloutStatusWriter, RolloutStatusWriterContext } from './rolloutStatusWriter.js';
 
-/** A phase that lapses is told again so often, the others so that nodes know that the decider lives. */
+/**
+ * Interval in milliseconds at which a phase is published again: a leased one before it expires, any
+ * other one to show that the leader is up.
+ */
 const LEASE_RENEWAL_MS = 500;
 const PHASE_RENEWAL_MS = 2_000;
 
-/** Versions that this node has heard of since, and another plan, are told on after this time, in milliseconds. */
-const NEWS_RENEWAL_MS = 500;
+/** Interval in milliseconds for the same phase if the plan or the owners' versions have changed. */
+const CHANGE_RENEWAL_MS = 500;
 
-/** A node that has told a phase decides for so long, in milliseconds: it tells it again within that time. */
-const DECIDING_MS = 2_500;
+/**
+ * A node that has published a phase counts as the leader for this time, in milliseconds. A leader
+ * publishes its phase again sooner than that.
+ */
+const LEADERSHIP_MS = 2_500;
 
-/** A plan is another one when a share has changed by this factor. */
+/** A plan counts as changed if a share has changed by more than this factor. */
 const SHARE_FACTOR = 1.5;
 
-/** Taken for the time of a call to the store before one was measured, in milliseconds. */
-const USUAL_STORE_MS = 100;
+/** Assumed duration of a write to the store before the first one, in milliseconds. */
+const DEFAULT_STORE_MS = 100;
 
-/** Reports that come together are looked at together, in milliseconds. */
-const SHORTEST_STEP_MS = 50;
+/** Shortest time between decisions, in milliseconds: reports that arrive together share one. */
+const MIN_STEP_INTERVAL_MS = 50;
 
-/** What changed, for the log. */
+/** A change of a roll-out, for the log. */
 export interface RolloutChange {
   readonly service: string;
   readonly change: string;
   readonly detail: Readonly<Record<string, unknown>>;
 }
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutControllerContext extends OwnerNotifierContext {
   readonly rollouts: RolloutTracker;
   readonly election: RolloutElection;
@@ -67,77 +78,81 @@
   readonly contactMs: () => number;
   readonly writer: () => RolloutStatusWriter;
   readonly bounds: () => ExposureBounds;
-  /** A phase is told to all nodes: this one is to take it too. */
-  readonly onPhase: (news: PhaseMessage) => void;
+  /** Applies a published phase to this node; the broadcast reaches only the other nodes. */
+  readonly onPhase: (message: PhaseMessage) => void;
   readonly onChange: (change: RolloutChange) => void;
 }
 
 export interface RolloutController {
+  /** Handles an owner's report, and forwards it if this node yields to another leader. */
   receiveEvidence(evidence: EvidenceReport): void;
-  /** Decides and carries out, if that falls to this node. */
+  /** Makes a decision and applies it, if this node is the leader. */
   reconcile(rollout: RunningRollout): void;
-  /** A phase that another node has told. */
+  /** Called when `node` has published a phase of the service's roll-out. */
   noteLeader(service: string, node: string): void;
-  /** Another node no longer decides. */
+  /** Called when another node has resigned as the leader. */
   noteResigned(service: string, node: string): void;
-  /** An order is gone: what is known of the versions is told once more, since its version gets nothing now. */
+  /**
+   * Called when a running order was removed. The leader publishes the owners' versions once more,
+   * since the order's version receives no requests from then on.
+   */
   noteRemoved(order: RolloutOrder): void;
-  /** A status was written, or the store did not take it. */
+  /** Called after each attempt to write a status. */
   noteWritten: RolloutStatusWriterContext['onWritten'];
 }
 
-/** What is kept for an order that runs. */
+/** State of a running order. */
 interface OrderWork {
   readonly generation: number;
   readonly decider: RolloutDecider;
-  toldAt: number;
-  /** Owners whose version has been told with it. */
-  toldVersions: number;
-  /** The plan that was told last. */
+  publishedAt: number;
+  /** Number of owners whose version was in the last published phase. */
+  publishedVersions: number;
+  /** The last published plan. */
   plan: RolloutPlan | undefined;
   reason: string;
   steppedAt: number;
-  readonly toldLimits: SentLimits;
+  readonly sentLimits: SentLimits;
 }
 
 export function createRolloutController(context: RolloutControllerContext): RolloutController {
   const { clock, rollouts, election, directory, broadcast, own, contactMs, writer } = context;
-  const words = createOwnerNotifier(context);
-  const works = new Map<string, OrderWork>();
-  /** The node that has told a phase of a service's order last, besides this one. */
-  const told = new Map<string, { readonly node: string; readonly at: number }>();
-  /** Of the last write that the store took. */
-  let storeMs = USUAL_STORE_MS;
+  const notifier = createOwnerNotifier(context);
+  const workByService = new Map<string, OrderWork>();
+  /** The last other node that has published a phase, by service. */
+  const lastLeaders = new Map<string, { readonly node: string; readonly at: number }>();
+  /** Duration of the last successful write to the store, in milliseconds. */
+  let storeMs = DEFAULT_STORE_MS;
 
   const workOf = ({ order, generation }: RunningRollout): OrderWork => {
     const { service, targetVersion } = order;
-    const known = works.get(service);
-    if (known?.generation === generation) {
-      return known;
+    const existing = workByService.get(service);
+    if (existing?.generation === generation) {
+      return existing;
     }
     const created: OrderWork = {
       generation,
       decider: createRolloutDecider(clock, targetVersion),
-      toldAt: Number.NEGATIVE_INFINITY,
-      toldVersions: 0,
+      publishedAt: Number.NEGATIVE_INFINITY,
+      publishedVersions: 0,
       plan: undefined,
       reason: '',
       steppedAt: Number.NEGATIVE_INFINITY,
-      toldLimits: new Map(),
+      sentLimits: new Map(),
     };
-    works.set(service, created);
+    workByService.set(service, created);
     return created;
   };
 
-  const tellPhase = (order: RolloutOrder, phase: RolloutPhase, plan?: RolloutPlan): void => {
-    const work = works.get(order.service);
+  const publishPhase = (order: RolloutOrder, phase: RolloutPhase, plan?: RolloutPlan): void => {
+    const work = workByService.get(order.service);
     const versions = work?.decider.versions ?? [];
     if (work) {
-      work.toldAt = clock.now();
-      work.toldVersions = versions.length;
+      work.publishedAt = clock.now();
+      work.publishedVersions = versions.length;
       work.plan = plan;
     }
-    const news: PhaseMessage = {
+    const message: PhaseMessage = {
       kind: RolloutMessageKind.Phase,
       service: order.service,
       orderId: order.id,
@@ -147,11 +162,11 @@
       versions,
       ...(plan ? { plan } : {}),
     };
-    context.onPhase(news);
-    broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage(news));
+    context.onPhase(message);
+    broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage(message));
   };
 
-  /** Another node is to decide: the store refuses this one's writes. */
+  /** Hands over to another node, since the store rejects this one's writes. */
   const resign = (service: string): void => {
     const { node } = own();
     const kind = RolloutMessageKind.Resignation;
@@ -160,12 +175,13 @@
   };
 
   /**
-   * The node that decides in place of this one: of two that both think they do, since half of the owners tell
-   * each, the first by rank. They would take back each other's phases.
+   * The other leader that this node yields to, if any. While half of the owners report to each of
+   * two nodes, both act as the leader and would revert each other's phases, so only the first of
+   * them by rank decides.
    */
-  const deciderBefore = (service: string): OwnerEntry | undefined => {
-    const last = told.get(service);
-    if (!last || clock.now() - last.at > DECIDING_MS) {
+  const precedingLeader = (service: string): OwnerEntry | undefined => {
+    const last = lastLeaders.get(service);
+    if (!last || clock.now() - last.at > LEADERSHIP_MS) {
       return undefined;
     }
     const [first] = rankNames(`rollout/${service}`, [last.node, own().node]);
@@ -182,17 +198,18 @@
   });
 
   const renewalMs = ({ phase, plan }: RolloutStep, work: OrderWork): number => {
-    const isNew = work.decider.versions.length > work.toldVersions || isOther(plan, work.plan);
+    const isNew =
+      work.decider.versions.length > work.publishedVersions || isChanged(plan, work.plan);
     if (isLeased(phase)) {
-      return isNew ? SHORTEST_STEP_MS : LEASE_RENEWAL_MS;
+      return isNew ? MIN_STEP_INTERVAL_MS : LEASE_RENEWAL_MS;
     }
     if (phase === RolloutPhase.Halt) {
       return LEASE_RENEWAL_MS;
     }
-    return isNew ? NEWS_RENEWAL_MS : PHASE_RENEWAL_MS;
+    return isNew ? CHANGE_RENEWAL_MS : PHASE_RENEWAL_MS;
   };
 
-  const carryOut = (rollout: RunningRollout, step: RolloutStep, work: OrderWork): void => {
+  const applyStep = (rollout: RunningRollout, step: RolloutStep, work: OrderWork): void => {
     const { order } = rollout;
     const { phase, plan } = step;
     if (phase === RolloutPhase.Done) {
@@ -200,12 +217,12 @@
     } else if (phase === RolloutPhase.Halt) {
       writer().write(order, RolloutState.RolledBack);
     }
-    words.sendLimits(rollout, step, work.toldLimits);
-    // Until the status is written, the other versions get nothing and wait for their end.
+    notifier.sendLimits(rollout, step, work.sentLimits);
+    // The other versions stay fenced until the completion is written.
     const isEnding = writer().pending(order.service) === RolloutState.Completed;
-    const shown = phase === RolloutPhase.Done || isEnding ? RolloutPhase.Shift : phase;
-    if (shown !== rollout.phase || clock.now() - work.toldAt >= renewalMs(step, work)) {
-      tellPhase(order, shown, plan);
+    const published = phase === RolloutPhase.Done || isEnding ? RolloutPhase.Shift : phase;
+    if (published !== rollout.phase || clock.now() - work.publishedAt >= renewalMs(step, work)) {
+      publishPhase(order, published, plan);
     }
   };
 
@@ -213,8 +230,9 @@
     const { order, phase } = rollout;
     const work = workOf(rollout);
     const owners = ownersOf(order.service);
-    const isTold = election.isLeader(order.service) || work.decider.hasReportQuorum(owners);
-    if (!isTold || deciderBefore(order.service)) {
+    const receivesReports =
+      election.isLeader(order.service) || work.decider.hasReportQuorum(owners);
+    if (!receivesReports || precedingLeader(order.service)) {
       return;
     }
     if (order.state === undefined) {
@@ -231,15 +249,15 @@
         detail: decisionLogFields(step),
       });
     }
-    carryOut(rollout, step, work);
+    applyStep(rollout, step, work);
   };
 
   return {
     receiveEvidence: (evidence) => {
       const rollout = rollouts.running(evidence.service);
-      const decider = deciderBefore(evidence.service);
-      if (decider) {
-        words.send(decider, evidence);
+      const leader = precedingLeader(evidence.service);
+      if (leader) {
+        notifier.send(leader, evidence);
       }
       if (rollout?.order.id === evidence.orderId) {
         rollouts.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
@@ -248,10 +266,10 @@
           evidence,
           rollouts.running(evidence.service)?.ageMs ?? evidence.ageMs,
         );
-        // In the last step each moment sends the version all that comes.
+        // In the last phase the version receives all requests, so each report is evaluated at once.
         if (
           rollout.phase === RolloutPhase.Shift &&
-          clock.now() - work.steppedAt >= SHORTEST_STEP_MS
+          clock.now() - work.steppedAt >= MIN_STEP_INTERVAL_MS
         ) {
           reconcile(rollout);
         }
@@ -260,21 +278,21 @@
     reconcile,
     noteLeader: (service, node) => {
       if (node !== own().node) {
-        told.set(service, { node, at: clock.now() });
+        lastLeaders.set(service, { node, at: clock.now() });
       }
     },
     noteResigned: (service, node) => {
-      if (told.get(service)?.node === node) {
-        told.delete(service);
+      if (lastLeaders.get(service)?.node === node) {
+        lastLeaders.delete(service);
       }
     },
     noteRemoved: (order) => {
-      const work = works.get(order.service);
+      const work = workByService.get(order.service);
       if (work && election.isLeader(order.service)) {
-        // Watch is the least that a node which still holds the order may give the version.
-        tellPhase(order, RolloutPhase.Watch);
+        // Watch gives the version the least on a node that has not yet read the removal.
+        publishPhase(order, RolloutPhase.Watch);
       }
-      works.delete(order.service);
+      workByService.delete(order.service);
     },
     noteWritten: (order, state, result, tookMs) => {
       const { service, targetVersion } = order;
@@ -284,22 +302,22 @@
         resign(service);
       } else if (result === 'ok' && hasEnded({ ...order, state })) {
         const isCompleted = state === RolloutState.Completed;
-        tellPhase(order, isCompleted ? RolloutPhase.Done : RolloutPhase.Halt);
+        publishPhase(order, isCompleted ? RolloutPhase.Done : RolloutPhase.Halt);
       }
     },
   };
 }
 
-/** True if the nodes are to be told of a plan though they have been told of another one. */
-function isOther(plan: RolloutPlan, told: RolloutPlan | undefined): boolean {
-  if (!told || [...plan.owners].sort().join(' ') !== [...told.owners].sort().join(' ')) {
+/** True if the plan differs enough from the published one to be published. */
+function isChanged(plan: RolloutPlan, published: RolloutPlan | undefined): boolean {
+  if (!published || [...plan.owners].sort().join(' ') !== [...published.owners].sort().join(' ')) {
     return true;
   }
-  if (plan.isFenced !== told.isFenced) {
+  if (plan.isFenced !== published.isFenced) {
     return true;
   }
   return [...plan.shares.keys()].some((route) => {
-    const [share, before] = [shareOf(plan, route), shareOf(told, route)];
+    const [share, before] = [shareOf(plan, route), shareOf(published, route)];
     return share > before * SHARE_FACTOR || share < before / SHARE_FACTOR;
   });
 }
--- a/src/directory/rolloutLog.ts
+++ b/src/directory/rolloutLog.ts
@@ -1,9 +1,9 @@
-/** What the log says of a roll-out's decision. */
+/** Log fields of a roll-out's decisions. */
 import { budgetNow } from '../rollout/exposure.js';
 import type { RolloutStep } from '../rollout/rolloutDecider.js';
 import { RolloutPhase } from '../rollout/rolloutOrder.js';
 
-/** A decision's inputs, for the log. */
+/** The inputs and the outcome of a decision; the names are keys in the log. */
 export function decisionLogFields(step: RolloutStep): Readonly<Record<string, unknown>> {
   const { phase, reason, facts, newestEvidenceMs, oldestEvidenceMs } = step;
   const { comparison, phase: before, routes, exposure, isFenced, ...numbers } = facts;
--- a/src/directory/rolloutOrders.ts
+++ b/src/directory/rolloutOrders.ts
@@ -1,7 +1,7 @@
 /**
- * The orders of roll-outs that the store holds. An order, or its status, that the store has lost as it came
- * back from a copy is no word of the operator: the order goes on, since the operator writes it again, and the
- * status is written again here.
+ * The orders of roll-outs in the store. If the store is restored from a copy that lacks an order or
+ * its status, the operator has not removed it. Such an order stays in force for some time, since
+ * the operator writes it again; a lost status is written again by the nodes.
  */
 import type { Clock } from '../model/clock.js';
 import { createRecentNames } from '../model/recentNames.js';
@@ -12,65 +12,65 @@
 import type { StaggeredRepairs } from './staggeredRepairs.js';
 
 /**
- * An order that is lost is held for so long, in milliseconds: operators write again what is lost as soon as they
- * see it. After that it counts as taken back.
+ * A lost order stays in force for this time, in milliseconds: operators write lost objects again as
+ * soon as they notice. After that the order counts as removed.
  */
 const LOST_ORDER_MS = 10_000;
 
-/** Orders that others have followed which are remembered. */
+/** Number of replaced orders whose ids are kept. */
 const MAX_REPLACED = 100;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutOrdersContext {
   readonly clock: Clock;
   readonly rollouts: RolloutTracker;
   readonly repairs: StaggeredRepairs;
   readonly decode: (object: StoredObject<unknown>) => RolloutOrder | undefined;
   readonly write: (order: RolloutOrder, state: RolloutState) => void;
-  /** The book has taken an order, or another state of it. */
+  /** Called when the tracker has applied an order or a new state of one. */
   readonly onApplied: (order: RolloutOrder, revision: number) => void;
   readonly onLost: (service: string) => void;
-  /** The order stands no longer; undefined unless it was running. */
+  /** Called when an order is no longer in force; `running` is undefined unless it was running. */
   readonly onRemoved: (service: string, running: RolloutOrder | undefined) => void;
 }
 
 export interface RolloutOrders {
-  /** The newest version of an order's object that this node has read. */
+  /** The newest revision of an order's object that this node has read. */
   lastRead(service: string): StoredObject<unknown> | undefined;
   apply(object: StoredObject<unknown>): void;
-  /** The store has had the object at one revision, and has it no longer at another. */
-  noteAbsent(service: string, had: number, revision: number): void;
-  /** All that the store holds, at a revision. */
+  /** Called for an object that the store held at `seenRevision` and does not at `revision`. */
+  noteAbsent(service: string, seenRevision: number, revision: number): void;
+  /** Applies the complete list of the store's objects at a revision. */
   applyList(objects: readonly StoredObject<unknown>[], revision: number): void;
-  /** Has what the store has lost written again, and gives up what is not written again. */
+  /** Has lost statuses written again; removes lost orders that were not written again in time. */
   repairLost(): void;
 }
 
 interface Lost {
   readonly since: number;
-  /** Revision at which it was last seen. */
+  /** Revision of the lost object. */
   readonly revision: number;
-  /** An earlier order that has come back in its place. */
-  readonly instead?: StoredObject<unknown>;
+  /** An earlier order that has reappeared in its place. */
+  readonly restored?: StoredObject<unknown>;
 }
 
 export function createRolloutOrders(context: RolloutOrdersContext): RolloutOrders {
   const { clock, rollouts, repairs, decode, write, onApplied, onLost, onRemoved } = context;
-  const held = new Map<string, StoredObject<unknown>>();
+  const lastObjects = new Map<string, StoredObject<unknown>>();
   const lost = new Map<string, Lost>();
-  /** Orders that others have followed. */
-  const replaced = createRecentNames(MAX_REPLACED);
-  /** Services whose status waits for this node's turn to write it. */
-  const rewriting = new Set<string>();
+  /** Ids of orders that were replaced by another one. */
+  const replacedIds = createRecentNames(MAX_REPLACED);
+  /** Services whose lost status is scheduled to be written by this node. */
+  const scheduledWrites = new Set<string>();
 
-  const lose = (service: string, revision: number, instead?: StoredObject<unknown>): void => {
-    held.delete(service);
-    lost.set(service, { since: clock.now(), revision, ...(instead ? { instead } : {}) });
+  const markLost = (service: string, revision: number, restored?: StoredObject<unknown>): void => {
+    lastObjects.delete(service);
+    lost.set(service, { since: clock.now(), revision, ...(restored ? { restored } : {}) });
     onLost(service);
   };
 
   const remove = (service: string): void => {
-    held.delete(service);
+    lastObjects.delete(service);
     lost.delete(service);
     const running = rollouts.running(service)?.order;
     rollouts.remove(service);
@@ -80,80 +80,80 @@
   const apply = (object: StoredObject<unknown>): void => {
     const { name: service, revision } = object;
     const order = decode(object);
-    const seen = held.get(service)?.revision ?? lost.get(service)?.revision;
-    if (!order || (seen !== undefined && seen >= revision)) {
+    const seenRevision = lastObjects.get(service)?.revision ?? lost.get(service)?.revision;
+    if (!order || (seenRevision !== undefined && seenRevision >= revision)) {
       return;
     }
-    const isRestored = seen !== undefined && mayBeLost(seen, revision);
-    if (isRestored && replaced.has(order.id)) {
-      lose(service, seen, object);
+    const isRestored = seenRevision !== undefined && mayBeLost(seenRevision, revision);
+    if (isRestored && replacedIds.has(order.id)) {
+      markLost(service, seenRevision, object);
       return;
     }
-    const earlier = held.get(service);
+    const earlier = lastObjects.get(service);
     const earlierId = earlier && decode(earlier)?.id;
     if (earlierId !== undefined && earlierId !== order.id) {
-      replaced.add(earlierId);
+      replacedIds.add(earlierId);
     }
     lost.delete(service);
-    held.set(service, object);
+    lastObjects.set(service, object);
     if (isRestored ? rollouts.applyRestoredOrder(order) : rollouts.applyOrder(order)) {
       onApplied(order, revision);
     }
   };
 
-  const noteAbsent = (service: string, had: number, revision: number): void => {
-    const object = held.get(service);
-    if (object && mayBeLost(had, revision)) {
-      lose(service, object.revision);
+  const noteAbsent = (service: string, seenRevision: number, revision: number): void => {
+    const object = lastObjects.get(service);
+    if (object && mayBeLost(seenRevision, revision)) {
+      markLost(service, object.revision);
     } else if (object) {
       remove(service);
     }
   };
 
-  const giveUp = (service: string, { instead }: Lost): void => {
+  const abandon = (service: string, { restored }: Lost): void => {
     remove(service);
-    if (instead) {
-      apply(instead);
+    if (restored) {
+      apply(restored);
     }
   };
 
-  /** The status that the system wrote last is to stand in the store. */
-  const lookAtStatus = (service: string): void => {
-    const object = held.get(service);
+  /** Schedules a write of the order's final state if the store does not hold it. */
+  const repairStatus = (service: string): void => {
+    const object = lastObjects.get(service);
     const order = object && decode(object);
-    const end = rollouts.endStateOf(service);
-    if (!order || !end || order.state === end) {
+    const endState = rollouts.endStateOf(service);
+    if (!order || !endState || order.state === endState) {
       repairs.cancel(service);
-      rewriting.delete(service);
+      scheduledWrites.delete(service);
       return;
     }
-    if (!rewriting.has(service)) {
-      rewriting.add(service);
+    if (!scheduledWrites.has(service)) {
+      scheduledWrites.add(service);
       repairs.schedule(service, () => {
-        rewriting.delete(service);
-        write(order, end);
+        scheduledWrites.delete(service);
+        write(order, endState);
       });
     }
   };
 
   return {
-    lastRead: (service) => held.get(service),
+    lastRead: (service) => lastObjects.get(service),
     apply,
     noteAbsent,
     applyList: (objects, revision) => {
       const present = new Set(objects.map(({ name }) => name));
-      for (const { name, revision: had } of [...held.values()]) {
+      for (const { name, revision: seenRevision } of [...lastObjects.values()]) {
         if (!present.has(name)) {
-          noteAbsent(name, had, revision);
+          noteAbsent(name, seenRevision, revision);
         }
       }
       objects.forEach(apply);
     },
     repairLost: () => {
-      rollouts.services.forEach(lookAtStatus);
-      for (const [service, each] of lost) {
-        if (clock.now() - each.since > LOST_ORDER_MS) {
-          giveUp(service, each);
+      rollouts.services.forEach(repairStatus);
+      for (const [service, lostOrder] of lost) {
+        if (clock.now() - lostOrder.since > LOST_ORDER_MS) {
+          abandon(service, lostOrder);
         }
       }
     },
--- a/src/directory/rolloutReporter.test.ts
+++ b/src/directory/rolloutReporter.test.ts
@@ -1,4 +1,4 @@
-/** What an owner lets through to its back end under an order, without a network. */
+/** Requests that an owner lets through to its back end under an order, without a network. */
 import { expect, it } from 'vitest';
 import { type LimitMessage, RolloutMessageKind } from '../rollout/rolloutMessages.js';
 import { type RolloutOrder, RolloutPhase, RolloutState } from '../rollout/rolloutOrder.js';
@@ -42,12 +42,12 @@
       countId = evidence.countId;
     },
   });
-  const takeOrder = (state = RolloutState.Running) => {
+  const applyOrder = (state = RolloutState.Running) => {
     rollouts.applyOrder({ ...ORDER, state });
     reporter.reportPhaseChange('desk');
   };
-  const allow = (limit: number, more: Partial<LimitMessage> = {}) => {
-    const news: LimitMessage = {
+  const sendLimit = (limit: number, overrides: Partial<LimitMessage> = {}) => {
+    const message: LimitMessage = {
       kind: RolloutMessageKind.Limit,
       service: 'desk',
       orderId: '1',
@@ -56,93 +56,94 @@
       limit,
       isUnlimited: false,
     };
-    reporter.applyLimit({ ...news, ...more });
+    reporter.applyLimit({ ...message, ...overrides });
   };
-  /** Requests of ten that are let through. */
-  const passed = () =>
+  /** Number of requests, out of ten, that are let through. */
+  const letThrough = () =>
     Array.from({ length: 10 }, () => reporter.acquirePermit()).filter(Boolean).length;
   return {
     rollouts,
     reporter,
-    takeOrder,
-    allow,
-    passed,
-    pass: (ms: number) => {
+    applyOrder,
+    sendLimit,
+    letThrough,
+    advance: (ms: number) => {
       now += ms;
     },
   };
 }
 
-it('lets nothing through to the version before a decider has told its limit, then that many', () => {
-  const { takeOrder, allow, passed } = setUp();
-  expect(passed()).toBe(10);
-  takeOrder();
-  expect(passed()).toBe(0);
-  allow(3);
-  expect(passed()).toBe(3);
-  allow(2);
-  expect(passed()).toBe(0);
-  allow(5);
-  expect(passed()).toBe(2);
-  allow(5, { isUnlimited: true });
-  expect(passed()).toBe(10);
+it('lets nothing through to the target version before the first limit, then up to it', () => {
+  const { applyOrder, sendLimit, letThrough } = setUp();
+  expect(letThrough()).toBe(10);
+  applyOrder();
+  expect(letThrough()).toBe(0);
+  sendLimit(3);
+  expect(letThrough()).toBe(3);
+  sendLimit(2);
+  expect(letThrough()).toBe(0);
+  sendLimit(5);
+  expect(letThrough()).toBe(2);
+  sendLimit(5, { isUnlimited: true });
+  expect(letThrough()).toBe(10);
 });
 
-it('takes no limit of another count, order or node', () => {
-  const { takeOrder, allow, passed } = setUp();
-  takeOrder();
-  allow(3, { countId: 'another' });
-  allow(3, { orderId: '2' });
-  allow(3, { node: 'node-2' });
-  expect(passed()).toBe(0);
+it('ignores a limit for another count, order or node', () => {
+  const { applyOrder, sendLimit, letThrough } = setUp();
+  applyOrder();
+  sendLimit(3, { countId: 'another' });
+  sendLimit(3, { orderId: '2' });
+  sendLimit(3, { node: 'node-2' });
+  expect(letThrough()).toBe(0);
 });
 
-it('has what did not reach the back end given back', () => {
-  const { reporter, takeOrder, allow, passed } = setUp();
-  takeOrder();
-  allow(2);
+it('releases the permit of a request that did not reach the back end', () => {
+  const { reporter, applyOrder, sendLimit, letThrough } = setUp();
+  applyOrder();
+  sendLimit(2);
   reporter.acquirePermit()?.finish(false);
   reporter.acquirePermit()?.finish(true);
-  expect(passed()).toBe(1);
+  expect(letThrough()).toBe(1);
 });
 
-// Requests were refused until the first word where an order came for a version that alone served.
-it('holds nothing back before the first word where no other version serves', () => {
-  const { takeOrder, allow, passed } = setUp({ isSoleVersion: true });
-  takeOrder();
-  expect(passed()).toBe(10);
-  allow(3);
-  expect(passed()).toBe(3);
+// Requests were refused until the first limit when an order named the only version in service.
+it('lets everything through before the first limit if no other version is in service', () => {
+  const { applyOrder, sendLimit, letThrough } = setUp({ isSoleVersion: true });
+  applyOrder();
+  expect(letThrough()).toBe(10);
+  sendLimit(3);
+  expect(letThrough()).toBe(3);
 });
 
-it('keeps the limit from the completion to the deadline', () => {
-  const { takeOrder, allow, passed, pass } = setUp();
-  takeOrder();
-  allow(3);
-  takeOrder(RolloutState.Completed);
-  expect(passed()).toBe(3);
-  pass(10_000);
-  expect(passed()).toBe(10);
+it('applies the limit from the completion until the deadline', () => {
+  const { applyOrder, sendLimit, letThrough, advance } = setUp();
+  applyOrder();
+  sendLimit(3);
+  applyOrder(RolloutState.Completed);
+  expect(letThrough()).toBe(3);
+  advance(10_000);
+  expect(letThrough()).toBe(10);
 });
 
-it('has no limit where the order is completed when it is learnt of', () => {
-  const { takeOrder, passed } = setUp();
-  takeOrder(RolloutState.Completed);
-  expect(passed()).toBe(10);
+it('applies no limit if the order is already completed when it is first read', () => {
+  const { applyOrder, letThrough } = setUp();
+  applyOrder(RolloutState.Completed);
+  expect(letThrough()).toBe(10);
 });
 
-// They turned requests away that nobody else took while the version's limits still stood.
-it('gives another version nothing new in the last step once it is fenced', () => {
-  const { rollouts, takeOrder, passed } = setUp({ version: 'v1' });
-  takeOrder();
-  expect(passed()).toBe(10);
+// Fenced in the Shift phase regardless of the plan, owners of other versions rejected requests that
+// no other owner accepted while the target version's limits still applied.
+it('lets nothing through to another version in the Shift phase unless the plan is unfenced', () => {
+  const { rollouts, applyOrder, letThrough } = setUp({ version: 'v1' });
+  applyOrder();
+  expect(letThrough()).toBe(10);
   const phase = RolloutPhase.Shift;
-  const word = { service: 'desk', orderId: '1', ageMs: 0, phase };
-  rollouts.applyPhase(word);
-  expect(passed()).toBe(0);
+  const update = { service: 'desk', orderId: '1', ageMs: 0, phase };
+  rollouts.applyPhase(update);
+  expect(letThrough()).toBe(0);
   const plan = { shares: new Map(), owners: new Set(['node-2']) };
-  rollouts.applyPhase({ ...word, plan: { ...plan, isFenced: false } });
-  expect(passed()).toBe(10);
-  rollouts.applyPhase({ ...word, plan: { ...plan, isFenced: true } });
-  expect(passed()).toBe(0);
+  rollouts.applyPhase({ ...update, plan: { ...plan, isFenced: false } });
+  expect(letThrough()).toBe(10);
+  rollouts.applyPhase({ ...update, plan: { ...plan, isFenced: true } });
+  expect(letThrough()).toBe(0);
 });
--- a/src/directory/rolloutReporter.ts
+++ b/src/directory/rolloutReporter.ts
@@ -1,4 +1,7 @@
-/** An owner's part in a roll-out: it tells the decider what its back end has made of its requests. */
+/**
+ * An owner's part in a roll-out: it reports the outcomes of its back end's requests to the leader,
+ * and lets requests through to the back end within the limit that the leader sends.
+ */
 import { randomUUID } from 'node:crypto';
 import type { Clock } from '../model/clock.js';
 import type { PeerClient } from '../peer/peerClient.js';
@@ -22,30 +25,33 @@
 import type { RolloutElection } from './rolloutElection.js';
 
 /**
- * Reports of the owners with the target version, and of the others, which have many more requests to
- * tell of: each costs a connection to the decider.
+ * Report intervals in milliseconds of the owners with the target version and of the others. There
+ * are many more of the others, and each needs a connection to the leader.
  */
 const TARGET_REPORT_MS = 500;
 const OTHER_REPORT_MS = 1_000;
 
-/** The same while a phase lasts for moments only; the others also tell when they have run their last request. */
+/**
+ * Report intervals in milliseconds during leased phases, which are short. The other owners also
+ * report when their last request has ended.
+ */
 const LEASED_TARGET_REPORT_MS = 125;
 const LEASED_OTHER_REPORT_MS = 250;
 
-/** A call that tells a decider takes no longer, in milliseconds. */
+/** Timeout in milliseconds of sending a report to the leader. */
 const SEND_TIMEOUT_MS = 500;
 
-/** What the back end here is now. */
+/** Current state of this node's back end. */
 export interface LocalBackEnd {
   readonly service: string | undefined;
   readonly version: string | undefined;
   readonly isReady: boolean;
   readonly slots: number;
-  /** Requests that run or wait. */
+  /** Number of requests that run or wait. */
   readonly load: number;
 }
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutReporterContext {
   readonly clock: Clock;
   readonly rollouts: RolloutTracker;
@@ -53,31 +59,31 @@
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly own: () => OwnerRecord;
   readonly backEnd: () => LocalBackEnd;
-  /** True if all other owners of the service are known to have the version. */
+  /** True if all other owners of the service have reported the version. */
   readonly isSoleVersion: (service: string, version: string) => boolean;
-  /** This node is the decider itself. */
+  /** Receives the reports if this node is the leader. */
   readonly onLocalEvidence: (evidence: EvidenceReport) => void;
 }
 
 export interface RolloutReporter {
-  /** The back end here has ended a request. */
+  /** Records a request that this node's back end has ended. */
   recordRun(run: BackEndRun): void;
-  /** Tells the decider, if it is time to. */
+  /** Sends a report to the leader, if one is due. */
   report(rollout: RunningRollout): void;
-  /** Tells the decider now, of a phase that is new here. */
+  /** Sends a report at once, since this node has applied a new phase. */
   reportPhaseChange(service: string): void;
-  /** The decider's word on how many requests the back end here may get. */
-  applyLimit(news: LimitMessage): void;
-  /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
+  /** Applies the leader's limit on the requests that this node's back end may receive. */
+  applyLimit(message: LimitMessage): void;
+  /** A permit for one request to this node's back end; undefined if an order allows none now. */
   acquirePermit(): RunPermit | undefined;
 }
 
-/** What is kept for an order that runs. */
+/** State of an order; `countId` identifies the counts to the leader. */
 interface OrderCounts {
   readonly generation: number;
   readonly countId: string;
   readonly counts: RunCounts;
-  readonly gate: RunLimiter;
+  readonly limiter: RunLimiter;
   readySince: number | undefined;
   reportedAt: number;
   reports: number;
@@ -86,26 +92,26 @@
 export function createRolloutReporter(context: RolloutReporterContext): RolloutReporter {
   const { clock, rollouts, election, caller, own, backEnd, isSoleVersion, onLocalEvidence } =
     context;
-  const kept = new Map<string, OrderCounts>();
+  const countsByService = new Map<string, OrderCounts>();
 
   const countsOf = ({
     order: { service },
     generation,
   }: Pick<RunningRollout, 'order' | 'generation'>): OrderCounts => {
-    const known = kept.get(service);
-    if (known?.generation === generation) {
-      return known;
+    const existing = countsByService.get(service);
+    if (existing?.generation === generation) {
+      return existing;
     }
     const created: OrderCounts = {
       generation,
       countId: randomUUID(),
       counts: createRunCounts(),
-      gate: createRunLimiter(),
+      limiter: createRunLimiter(),
       readySince: undefined,
       reportedAt: Number.NEGATIVE_INFINITY,
       reports: 0,
     };
-    kept.set(service, created);
+    countsByService.set(service, created);
     return created;
   };
 
@@ -124,21 +130,23 @@
   };
 
   const send = (evidence: EvidenceReport): void => {
-    const decider = election.leaderOf(evidence.service);
-    if (!decider || decider.isLocal) {
+    const leader = election.leaderOf(evidence.service);
+    if (!leader || leader.isLocal) {
       onLocalEvidence(evidence);
       return;
     }
     const content = encodeRolloutMessage(evidence);
-    const news = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
-    void caller.sendAnnouncement(decider.record.address, news, SEND_TIMEOUT_MS).then((isTaken) => {
-      if (!isTaken) {
-        election.noteUnreachable(decider.record.node);
-      }
-    });
+    const announcement = { topic: AnnouncementTopic.Rollouts, content, shouldForward: false };
+    void caller
+      .sendAnnouncement(leader.record.address, announcement, SEND_TIMEOUT_MS)
+      .then((isAccepted) => {
+        if (!isAccepted) {
+          election.noteUnreachable(leader.record.node);
+        }
+      });
   };
 
-  const paceMs = ({ phase, order }: RunningRollout, version: string | undefined): number => {
+  const intervalMs = ({ phase, order }: RunningRollout, version: string | undefined): number => {
     if (version === order.targetVersion) {
       return isLeased(phase) ? LEASED_TARGET_REPORT_MS : TARGET_REPORT_MS;
     }
@@ -148,11 +156,11 @@
   const reportNow = (rollout: RunningRollout): void => {
     const { order, phase, ageMs } = rollout;
     const { version, slots, load } = backEnd();
-    const mine = countsOf(rollout);
-    const { countId, counts, gate, readySince } = mine;
+    const current = countsOf(rollout);
+    const { countId, counts, limiter, readySince } = current;
     const now = clock.now();
-    mine.reportedAt = now;
-    mine.reports += 1;
+    current.reportedAt = now;
+    current.reports += 1;
     send({
       kind: RolloutMessageKind.Evidence,
       service: order.service,
@@ -161,51 +169,54 @@
       node: own().node,
       phase,
       countId,
-      sequence: mine.reports,
+      sequence: current.reports,
       version,
       readyMs: readySince === undefined ? undefined : now - readySince,
       slots,
       load,
       isFenced: isFencedBy(order.service, version),
-      taken: gate.taken,
-      limit: gate.limit,
+      taken: limiter.taken,
+      limit: limiter.limit,
       counts: counts.countsFor(version),
     });
   };
 
-  /** The order of the service that the back end here has, while it runs. */
-  const ownRollout = (): RunningRollout | undefined => {
+  /** The running order of this back end's service, if any. */
+  const localRollout = (): RunningRollout | undefined => {
     const { service } = backEnd();
     return service === undefined ? undefined : rollouts.running(service);
   };
 
-  /** The last request of a back end that is to stop: the decider waits for this word. */
+  /** Reports that a fenced back end has ended its last request: the leader waits for that. */
   const reportIfIdle = (): void => {
     const { service, version, load } = backEnd();
-    const rollout = ownRollout();
+    const rollout = localRollout();
     if (rollout && service !== undefined && load === 0 && isFencedBy(service, version)) {
       reportNow(rollout);
     }
   };
 
   /**
-   * Its limit holds until the deadline, also after the order is completed: the last limit is what the bound pays
-   * for until then. An owner that has learnt of the order when it was completed has been told none, nor has one
-   * yet whose version alone serves as the order comes.
+   * The limiter of the target version's back end; undefined if no limit applies. A limit applies
+   * until the order's deadline, also after its completion: the bound covers only the last limit
+   * until then. An owner that first reads the order when it is completed has received no limit. An
+   * owner has none yet, either, if its version is the only one in service when the order arrives.
    */
-  const gateOf = (service: string, version: string | undefined): RunLimiter | undefined => {
+  const limiterFor = (service: string, version: string | undefined): RunLimiter | undefined => {
     const view = rollouts.view(service);
     const isOfTarget = view !== undefined && version === view.order.targetVersion;
     if (!isOfTarget || view.ageMs >= view.order.durationMs) {
       return undefined;
     }
     if (hasEnded(view.order)) {
-      const known = kept.get(service);
+      const existing = countsByService.get(service);
       const isCompleted = view.order.state === RolloutState.Completed;
-      return isCompleted && known?.generation === view.generation ? known.gate : undefined;
+      return isCompleted && existing?.generation === view.generation ? existing.limiter : undefined;
     }
-    const { gate } = countsOf(view);
-    return gate.hasLimit || !isSoleVersion(service, view.order.targetVersion) ? gate : undefined;
+    const { limiter } = countsOf(view);
+    return limiter.hasLimit || !isSoleVersion(service, view.order.targetVersion)
+      ? limiter
+      : undefined;
   };
 
   return {
@@ -221,14 +232,14 @@
         return;
       }
       const now = clock.now();
-      const mine = countsOf(rollout);
-      mine.readySince = isReady ? (mine.readySince ?? now) : undefined;
-      if (now - mine.reportedAt >= paceMs(rollout, version)) {
+      const current = countsOf(rollout);
+      current.readySince = isReady ? (current.readySince ?? now) : undefined;
+      if (now - current.reportedAt >= intervalMs(rollout, version)) {
         reportNow(rollout);
       }
     },
     reportPhaseChange: (service) => {
-      const rollout = ownRollout();
+      const rollout = localRollout();
       if (rollout?.order.service === service) {
         reportNow(rollout);
       }
@@ -238,9 +249,9 @@
       if (view?.order.id !== orderId || node !== own().node) {
         return;
       }
-      const mine = countsOf(view);
-      if (mine.countId === countId) {
-        mine.gate.raiseLimit({ limit, isUnlimited });
+      const current = countsOf(view);
+      if (current.countId === countId) {
+        current.limiter.raiseLimit({ limit, isUnlimited });
       }
     },
     acquirePermit: () => {
@@ -251,12 +262,12 @@
       if (isFencedBy(service, version)) {
         return undefined;
       }
-      const gate = gateOf(service, version);
-      if (!gate) {
+      const limiter = limiterFor(service, version);
+      if (!limiter) {
         return { finish: reportIfIdle };
       }
-      return gate.tryAcquire()
-        ? { finish: (hasArrived) => (hasArrived ? undefined : gate.release()) }
+      return limiter.tryAcquire()
+        ? { finish: (hasArrived) => (hasArrived ? undefined : limiter.release()) }
         : undefined;
     },
   };
--- a/src/directory/rolloutStatusWriter.model.test.ts
+++ b/src/directory/rolloutStatusWriter.model.test.ts
@@ -1,6 +1,7 @@
 /**
- * Deciders, operator and store as a small machine, run through random interleavings: nodes that read late
- * or not at all, answers that are lost, writes that are carried out later, orders replaced meanwhile.
+ * Model test of leaders, operator and store with random interleavings: nodes that read late or
+ * never, lost answers, writes that are executed late, and orders that are replaced in between. It
+ * guards against an order with two final states or a change after the final one.
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
@@ -14,21 +15,21 @@
 
 type Result = StoreResult<StoredObject<unknown>>;
 
-/** How the store treats a write. */
-enum Fate {
+/** How the store handles a write. */
+enum Outcome {
   Answered = 0,
   AnswerLost = 1,
   CarriedOutLater = 2,
   Refused = 3,
 }
 
-/** One thing that happens. */
+/** One event of a run. */
 type Step =
   | {
       readonly kind: 'write';
       readonly node: number;
       readonly state: RolloutState;
-      readonly fate: Fate;
+      readonly outcome: Outcome;
     }
   | { readonly kind: 'read'; readonly node: number }
   | { readonly kind: 'carry-out' }
@@ -36,7 +37,12 @@
   | { readonly kind: 'remove' };
 
 const states = fc.constantFrom(...Object.values(RolloutState));
-const fates = fc.constantFrom(Fate.Answered, Fate.AnswerLost, Fate.CarriedOutLater, Fate.Refused);
+const outcomes = fc.constantFrom(
+  Outcome.Answered,
+  Outcome.AnswerLost,
+  Outcome.CarriedOutLater,
+  Outcome.Refused,
+);
 const nodes = fc.nat({ max: NODES - 1 });
 const steps: fc.Arbitrary<Step> = fc.oneof(
   {
@@ -45,7 +51,7 @@
       kind: fc.constant('write' as const),
       node: nodes,
       state: states,
-      fate: fates,
+      outcome: outcomes,
     }),
   },
   { weight: 4, arbitrary: fc.record({ kind: fc.constant('read' as const), node: nodes }) },
@@ -60,56 +66,56 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('remove' as const) }) },
 );
 
-/** A store whose writes meet the fate that is set, and what was written under which revision. */
-function createFatefulStore(memory: MemoryStore) {
-  let fate = Fate.Answered;
-  const later: (() => void)[] = [];
-  const holder = () => memory.kind(ROLLOUT_KIND).get('desk');
+/** A store that handles each write as set by `setOutcome`. */
+function createFaultyStore(memory: MemoryStore) {
+  let outcome = Outcome.Answered;
+  const delayed: (() => void)[] = [];
+  const current = () => memory.kind(ROLLOUT_KIND).get('desk');
   const failed = (failure: 'conflict' | 'not-found' | 'unknown' | 'unavailable'): Result => ({
     ok: false,
     failure,
     detail: 'model',
   });
   const carryOut = (revision: number, status: unknown): Result => {
-    const held = holder();
-    if (!held) {
+    const stored = current();
+    if (!stored) {
       return failed('not-found');
     }
-    return held.revision === revision
+    return stored.revision === revision
       ? { ok: true, value: memory.putStatus(ROLLOUT_KIND, 'desk', status) }
       : failed('conflict');
   };
   const store = {
     get: async (): Promise<Result> => {
-      const held = holder();
-      return held ? { ok: true, value: held } : failed('not-found');
+      const stored = current();
+      return stored ? { ok: true, value: stored } : failed('not-found');
     },
     replaceStatus: async (_kind: string, { revision }: { revision: number }, status: unknown) => {
-      switch (fate) {
-        case Fate.Refused:
+      switch (outcome) {
+        case Outcome.Refused:
           return failed('unavailable');
-        case Fate.CarriedOutLater:
-          later.push(() => carryOut(revision, status));
+        case Outcome.CarriedOutLater:
+          delayed.push(() => carryOut(revision, status));
           return failed('unknown');
-        case Fate.AnswerLost:
+        case Outcome.AnswerLost:
           carryOut(revision, status);
           return failed('unknown');
-        case Fate.Answered:
+        case Outcome.Answered:
           return carryOut(revision, status);
       }
     },
   } as unknown as ObjectStore;
   return {
     store,
-    setFate: (next: Fate) => {
-      fate = next;
+    setOutcome: (next: Outcome) => {
+      outcome = next;
     },
-    carryOutLater: () => later.shift()?.(),
+    carryOutLater: () => delayed.shift()?.(),
   };
 }
 
-/** Plays the steps; the states that the order went through from each word of the operator to the next. */
-async function play(played: readonly Step[]): Promise<(RolloutState | undefined)[][]> {
+/** Runs the steps. Returns the sequence of states of each order that the operator has written. */
+async function runSteps(stepList: readonly Step[]): Promise<(RolloutState | undefined)[][]> {
   const memory = new MemoryStore();
   const ordered = new Set<number>();
   const order = (version: string) => {
@@ -117,42 +123,42 @@
     ordered.add(memory.put(ROLLOUT_KIND, 'desk', spec).revision);
   };
   order('v2');
-  const { store, setFate, carryOutLater } = createFatefulStore(memory);
-  const deciders = Array.from({ length: NODES }, () => {
-    let held = memory.kind(ROLLOUT_KIND).get('desk');
+  const { store, setOutcome, carryOutLater } = createFaultyStore(memory);
+  const leaders = Array.from({ length: NODES }, () => {
+    let lastRead = memory.kind(ROLLOUT_KIND).get('desk');
     const writer = createRolloutStatusWriter({
       clock: { now: () => 0 },
       store,
       codec: PLATFORM_ROLLOUTS,
-      lastRead: () => held,
+      lastRead: () => lastRead,
       onRead: (_service, object) => {
-        held = object;
+        lastRead = object;
       },
       onWritten: () => {},
     });
     return {
       read: () => {
-        held = memory.kind(ROLLOUT_KIND).get('desk');
+        lastRead = memory.kind(ROLLOUT_KIND).get('desk');
       },
-      /** What it takes for the order, however old. */
-      order: (): RolloutOrder | undefined => held && decodeRollout(held),
+      /** The order as this node has last read it. */
+      order: (): RolloutOrder | undefined => lastRead && decodeRollout(lastRead),
       writer,
     };
   });
-  for (const step of played) {
+  for (const step of stepList) {
     switch (step.kind) {
       case 'write': {
-        const decider = deciders[step.node];
-        const known = decider?.order();
-        setFate(step.fate);
-        if (decider && known) {
-          decider.writer.write(known, step.state);
+        const leader = leaders[step.node];
+        const lastOrder = leader?.order();
+        setOutcome(step.outcome);
+        if (leader && lastOrder) {
+          leader.writer.write(lastOrder, step.state);
         }
         await new Promise((resolve) => setImmediate(resolve));
         break;
       }
       case 'read':
-        deciders[step.node]?.read();
+        leaders[step.node]?.read();
         break;
       case 'carry-out':
         carryOutLater();
@@ -174,15 +180,15 @@
   return histories;
 }
 
-const isEnd = (state: RolloutState | undefined) =>
+const isFinal = (state: RolloutState | undefined) =>
   state === RolloutState.Completed || state === RolloutState.RolledBack;
 
-it('no order ends both ways, or runs again after its end, whoever writes when', async () => {
+it('never changes the final state of an order, for any order of writes', async () => {
   await fc.assert(
-    fc.asyncProperty(fc.array(steps, { maxLength: 30 }), async (played) => {
-      for (const history of await play(played)) {
-        const end = history.findIndex(isEnd);
-        const after = end < 0 ? [] : history.slice(end);
+    fc.asyncProperty(fc.array(steps, { maxLength: 30 }), async (stepList) => {
+      for (const history of await runSteps(stepList)) {
+        const finalIndex = history.findIndex(isFinal);
+        const after = finalIndex < 0 ? [] : history.slice(finalIndex);
         expect(new Set(after).size).toBeLessThanOrEqual(1);
       }
     }),
--- a/src/directory/rolloutStatusWriter.test.ts
+++ b/src/directory/rolloutStatusWriter.test.ts
@@ -1,4 +1,4 @@
-/** Status writes of deciders that do not know of one another. */
+/** Status writes of several leaders that act independently of one another. */
 import { describe, expect, it } from 'vitest';
 import { MemoryStore, StoreView } from '../../lab/memory-store.js';
 import { PLATFORM_ROLLOUTS, ROLLOUT_KIND } from '../../platform/rollouts.js';
@@ -13,17 +13,17 @@
   store.put(ROLLOUT_KIND, 'desk', SPEC);
   const read = () => store.kind(ROLLOUT_KIND).get('desk') as StoredObject<unknown>;
   /** A node that has read the order at its start. */
-  const decider = () => {
+  const createLeader = () => {
     const view = new StoreView(store);
-    let held: StoredObject<unknown> | undefined = read();
+    let lastRead: StoredObject<unknown> | undefined = read();
     const results: string[] = [];
     const writer = createRolloutStatusWriter({
       clock: { now: () => 0 },
       store: view,
       codec: PLATFORM_ROLLOUTS,
-      lastRead: () => held,
+      lastRead: () => lastRead,
       onRead: (_service, object) => {
-        held = object;
+        lastRead = object;
       },
       onWritten: (_order, state, result) => results.push(`${state} ${result}`),
     });
@@ -36,25 +36,25 @@
   };
   const states = () =>
     store.log.map(({ object }) => (object.status as { state: string } | undefined)?.state);
-  return { store, decider, states };
+  return { store, createLeader, states };
 }
 
 describe('status of roll-outs', () => {
-  it('a decider that wakes late is refused, reads anew and writes nothing', async () => {
-    const { decider, states } = setUp();
-    const late = decider();
-    const present = decider();
-    await present.write(RolloutState.Running);
-    await present.write(RolloutState.RolledBack);
-    await late.write(RolloutState.Completed);
-    await late.write(RolloutState.Completed);
-    expect(late.results).toEqual(['completed conflict']);
+  it('rejects the write of a leader with an outdated order, which then writes no more', async () => {
+    const { createLeader, states } = setUp();
+    const outdated = createLeader();
+    const upToDate = createLeader();
+    await upToDate.write(RolloutState.Running);
+    await upToDate.write(RolloutState.RolledBack);
+    await outdated.write(RolloutState.Completed);
+    await outdated.write(RolloutState.Completed);
+    expect(outdated.results).toEqual(['completed conflict']);
     expect(states()).toEqual([undefined, 'running', 'rolled_back']);
   });
 
-  it('a write whose answer was lost is not made twice', async () => {
-    const { decider, states } = setUp();
-    const { view, write, results } = decider();
+  it('does not repeat a write whose answer was lost', async () => {
+    const { createLeader, states } = setUp();
+    const { view, write, results } = createLeader();
     view.answersToLose = 1;
     await write(RolloutState.Completed);
     await write(RolloutState.Completed);
@@ -62,9 +62,9 @@
     expect(states()).toEqual([undefined, 'completed']);
   });
 
-  it('a write that is carried out late does not end an order that has ended otherwise', async () => {
-    const { decider, states } = setUp();
-    const first = decider();
+  it('a write that is executed late does not change the final state of an order', async () => {
+    const { createLeader, states } = setUp();
+    const first = createLeader();
     first.view.writesToDelay = 1;
     first.view.lateMs = 30;
     await first.write(RolloutState.Completed);
@@ -73,9 +73,9 @@
     expect(states()).toEqual([undefined, 'rolled_back']);
   });
 
-  it('says nothing of another order', async () => {
-    const { store, decider, states } = setUp();
-    const { write } = decider();
+  it('does not write the status of an order that has replaced the one read', async () => {
+    const { store, createLeader, states } = setUp();
+    const { write } = createLeader();
     store.delete(ROLLOUT_KIND, 'desk');
     store.put(ROLLOUT_KIND, 'desk', SPEC);
     await write(RolloutState.Completed);
@@ -83,9 +83,9 @@
     expect(states()).toEqual([undefined, undefined, undefined]);
   });
 
-  it('is not written while the store refuses', async () => {
-    const { decider, states } = setUp();
-    const { view, write, results } = decider();
+  it('writes the status once the store is available again', async () => {
+    const { createLeader, states } = setUp();
+    const { view, write, results } = createLeader();
     view.failure = 'unavailable';
     await write(RolloutState.Running);
     view.failure = undefined;
--- a/src/directory/rolloutStatusWriter.ts
+++ b/src/directory/rolloutStatusWriter.ts
@@ -1,33 +1,33 @@
 /**
- * Writes the status of orders, each under the revision at which its order was last read: a decider that
- * was suspended, cut off or replaced meanwhile is refused, and reads anew before it writes again.
+ * Writes the status of orders, on condition of the revision at which the order was last read. The
+ * store rejects the write of a leader that was suspended, cut off or replaced in the meantime; it
+ * reads the order again before its next write.
  */
 import type { Clock } from '../model/clock.js';
 import { type RolloutOrder, RolloutState, type RolloutStatus } from '../rollout/rolloutOrder.js';
 import type { ObjectStore, StoredObject, StoreFailure } from '../source/object-store.js';
 
-/** How a deployment spells orders and their status. */
+/** A deployment's representation of orders and their status in the store. */
 export interface RolloutCodec {
   readonly kind: string;
-  /** Undefined for an object that is no order. */
+  /** Returns undefined if the object is not an order. */
   readonly decode: (object: StoredObject<unknown>) => RolloutOrder | undefined;
-  /** Renders an order. */
   readonly encode: (
     order: Pick<RolloutOrder, 'service' | 'targetVersion' | 'durationMs'>,
   ) => unknown;
   readonly encodeStatus: (status: RolloutStatus) => unknown;
 }
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutStatusWriterContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
   readonly codec: RolloutCodec;
-  /** The newest version of an order's object that this node has read. */
+  /** The newest revision of an order's object that this node has read. */
   readonly lastRead: (service: string) => StoredObject<unknown> | undefined;
-  /** The object as it is now, or that there is none. */
+  /** Receives the current object, or undefined if the store holds none. */
   readonly onRead: (service: string, object: StoredObject<unknown> | undefined) => void;
-  /** The call to the store took so many milliseconds. */
+  /** Called after each write; `tookMs` is the duration of the call to the store. */
   readonly onWritten: (
     order: RolloutOrder,
     state: RolloutState,
@@ -37,9 +37,9 @@
 }
 
 export interface RolloutStatusWriter {
-  /** Writes in the background; nothing while an earlier write of the same order is under way. */
+  /** Writes in the background; does nothing while a write for the same service is in progress. */
   write(order: RolloutOrder, state: RolloutState): void;
-  /** What is being written of a service's order. */
+  /** The state that is being written for a service's order, if any. */
   pending(service: string): RolloutState | undefined;
 }
 
@@ -47,9 +47,9 @@
   context: RolloutStatusWriterContext,
 ): RolloutStatusWriter {
   const { clock, store, codec, lastRead, onRead, onWritten } = context;
-  const writing = new Map<string, RolloutState>();
+  const pendingStates = new Map<string, RolloutState>();
 
-  const readAnew = async (service: string): Promise<void> => {
+  const refresh = async (service: string): Promise<void> => {
     const result = await store.get<unknown>(codec.kind, service);
     if (result.ok) {
       onRead(service, result.value);
@@ -61,8 +61,8 @@
   const writeOnce = async (order: RolloutOrder, state: RolloutState): Promise<void> => {
     const { service, targetVersion } = order;
     const object = lastRead(service);
-    const known = object && codec.decode(object);
-    if (!object || known?.id !== order.id || !mayFollow(known.state, state)) {
+    const current = object && codec.decode(object);
+    if (!object || current?.id !== order.id || !mayFollow(current.state, state)) {
       return;
     }
     const status = codec.encodeStatus({ targetVersion, state });
@@ -72,25 +72,25 @@
     if (result.ok) {
       onRead(service, result.value);
     } else if (result.failure !== 'throttled' && result.failure !== 'unavailable') {
-      // Another node wrote, or it isn't known whether this one did.
-      await readAnew(service);
+      // Another node has written, or it is unknown whether this write was executed.
+      await refresh(service);
     }
     onWritten(order, state, result.ok ? 'ok' : result.failure, tookMs);
   };
 
   return {
     write: (order, state) => {
-      if (writing.has(order.service)) {
+      if (pendingStates.has(order.service)) {
         return;
       }
-      writing.set(order.service, state);
-      void writeOnce(order, state).finally(() => writing.delete(order.service));
+      pendingStates.set(order.service, state);
+      void writeOnce(order, state).finally(() => pendingStates.delete(order.service));
     },
-    pending: (service) => writing.get(service),
+    pending: (service) => pendingStates.get(service),
   };
 }
 
-/** A status begins as running and ends once. */
+/** An order's status starts as running and ends once; the final state never changes. */
 function mayFollow(before: RolloutState | undefined, next: RolloutState): boolean {
   return before === undefined || (before === RolloutState.Running && next !== before);
 }
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -1,9 +1,10 @@
 /**
- * Carries roll-outs out together with the other nodes: follows the orders in the store, reports what the
- * back end here makes of its requests, and decides where that falls to this node.
+ * This node's part in roll-outs: follows the orders in the store, reports the outcomes of its back
+ * end's requests, and makes the decisions while it is the leader.
  *
- * Which node decides follows from the order's name and the nodes that are up; conditional writes keep
- * two that both think so from doing harm. All that a successor needs is in the store or told again.
+ * The leader follows from the service's name and the nodes that are up. Two nodes may both act as
+ * the leader; conditional writes keep that from doing harm. A new leader finds all it needs in the
+ * store and in the owners' next reports.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -31,17 +32,17 @@
 import { createRolloutStatusWriter, type RolloutCodec } from './rolloutStatusWriter.js';
 import { createStaggeredRepairs } from './staggeredRepairs.js';
 
-/** Pause between two looks at what is to be told and decided while an order runs, in milliseconds. */
+/** Interval in milliseconds at which reports and decisions are made while an order runs. */
 const TICK_MS = 125;
 
 /**
- * Longest wait of a watch in milliseconds while an order runs, and while none does: a node that gets no
- * answer for longer cannot know that the order still stands.
+ * Longest wait of a watch in milliseconds, while an order runs and while none does. A node that
+ * gets no answer for longer cannot be sure that the order is still in force.
  */
 const RUNNING_WAIT_MS = 1_000;
 const QUIET_WAIT_MS = 15_000;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface RolloutSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
@@ -61,11 +62,11 @@
   start(): void;
   stop(): void;
   readonly rollouts: RolloutTracker;
-  /** The back end here has ended a request. */
+  /** Records a request that this node's back end has ended. */
   recordRun(run: BackEndRun): void;
-  /** Lets a request through to the back end here; undefined if an order gives it nothing more now. */
+  /** A permit for one request to this node's back end; undefined if an order allows none now. */
   acquirePermit(): RunPermit | undefined;
-  /** The version of a node's back end by the decider's word. */
+  /** The version of a node's back end in the leader's last announcement that lists the node. */
   announcedVersion(node: string): string | undefined;
 }
 
@@ -77,27 +78,27 @@
     own: () => own().node,
     nodes: () => directory.all().map(({ record }) => record.node),
   });
-  const toldVersions = new Map<string, string>();
-  let ticking: NodeJS.Timeout | undefined;
+  const announcedVersions = new Map<string, string>();
+  let timer: NodeJS.Timeout | undefined;
 
-  const takePhase = (news: PhaseMessage, from = 'own'): void => {
-    for (const [node, version] of news.versions) {
-      toldVersions.set(node, version);
+  const applyPhase = (message: PhaseMessage, from = 'own'): void => {
+    for (const [node, version] of message.versions) {
+      announcedVersions.set(node, version);
     }
-    if (rollouts.applyPhase(news)) {
-      const { service, phase } = news;
+    if (rollouts.applyPhase(message)) {
+      const { service, phase } = message;
       onChange({ service, change: 'phase', detail: { phase: RolloutPhase[phase], from } });
       reporter.reportPhaseChange(service);
     }
   };
 
-  const steering = createRolloutController({
+  const controller = createRolloutController({
     ...context,
     rollouts,
     election,
     writer: () => writer,
-    onPhase: takePhase,
-    onLocalLimit: (news) => reporter.applyLimit(news),
+    onPhase: applyPhase,
+    onLocalLimit: (message) => reporter.applyLimit(message),
   });
 
   const writer = createRolloutStatusWriter({
@@ -105,9 +106,9 @@
     store,
     codec,
     lastRead: (service) => orders.lastRead(service),
-    // That there is none is told by the watch, which knows whether it was removed or is lost.
+    // A missing object is left to the watch, which distinguishes a removal from a loss.
     onRead: (_service, object) => object && orders.apply(object),
-    onWritten: steering.noteWritten,
+    onWritten: controller.noteWritten,
   });
 
   const orders = createRolloutOrders({
@@ -121,17 +122,17 @@
     onLost: (service) => onChange({ service, change: 'lost', detail: {} }),
     onRemoved: (service, running) => {
       if (running) {
-        steering.noteRemoved(running);
+        controller.noteRemoved(running);
       }
       onChange({ service, change: 'removed', detail: {} });
     },
   });
 
-  /** A node that knows of no other owner may have just started. */
+  /** False without other owners on record, since this node may have just started. */
   const isSoleVersion = (service: string, version: string): boolean => {
     const up = directory.ownersOf(service).filter(({ absenceReason }) => !absenceReason);
     const versionOf = ({ record, backEndVersion }: OwnerEntry) =>
-      backEndVersion ?? toldVersions.get(record.node);
+      backEndVersion ?? announcedVersions.get(record.node);
     return up.length > 1 && up.every((entry) => versionOf(entry) === version);
   };
 
@@ -140,7 +141,7 @@
     rollouts,
     election,
     isSoleVersion,
-    onLocalEvidence: steering.receiveEvidence,
+    onLocalEvidence: controller.receiveEvidence,
   });
 
   const tick = (): void => {
@@ -149,27 +150,27 @@
       const rollout = rollouts.running(service);
       if (rollout) {
         reporter.report(rollout);
-        steering.reconcile(rollout);
+        controller.reconcile(rollout);
       }
     }
   };
 
   broadcast.subscribe(AnnouncementTopic.Rollouts, (content, from) => {
-    const news = decodeRolloutMessage(content);
-    switch (news?.kind) {
+    const message = decodeRolloutMessage(content);
+    switch (message?.kind) {
       case RolloutMessageKind.Phase:
-        steering.noteLeader(news.service, news.leader);
-        takePhase(news, from);
+        controller.noteLeader(message.service, message.leader);
+        applyPhase(message, from);
         return;
       case RolloutMessageKind.Evidence:
-        steering.receiveEvidence(news);
+        controller.receiveEvidence(message);
         return;
       case RolloutMessageKind.Limit:
-        reporter.applyLimit(news);
+        reporter.applyLimit(message);
         return;
       case RolloutMessageKind.Resignation:
-        election.noteResigned(news.service, news.node);
-        steering.noteResigned(news.service, news.node);
+        election.noteResigned(message.service, message.node);
+        controller.noteResigned(message.service, message.node);
     }
   });
 
@@ -181,8 +182,8 @@
         rollouts.isSynced = true;
         orders.applyList(listed, revision);
       },
-      onChange: (object, gone, revision) => {
-        if (gone) {
+      onChange: (object, isRemoved, revision) => {
+        if (isRemoved) {
           orders.noteAbsent(object.name, object.revision, revision);
         } else {
           orders.apply(object);
@@ -202,16 +203,16 @@
   return {
     rollouts,
     start: () => {
-      ticking = setInterval(tick, TICK_MS);
+      timer = setInterval(tick, TICK_MS);
       void watcher.run();
     },
     stop: () => {
-      clearInterval(ticking);
+      clearInterval(timer);
       repairs.stop();
       watcher.stop();
     },
     recordRun: reporter.recordRun,
     acquirePermit: reporter.acquirePermit,
-    announcedVersion: (node) => toldVersions.get(node),
+    announcedVersion: (node) => announcedVersions.get(node),
   };
 }
