--- a/src/directory/rolloutStatusWriter.test.ts
+++ b/src/directory/rolloutStatusWriter.test.ts
@@ -12,7 +12,7 @@
   const store = new MemoryStore();
   store.put(ROLLOUT_KIND, 'desk', SPEC);
   const read = () => store.kind(ROLLOUT_KIND).get('desk') as StoredObject<unknown>;
-  /** A node that has read the order at its start. */
+  /** A leader that has read the order at its start. */
   const createLeader = () => {
     const view = new StoreView(store);
     let lastRead: StoredObject<unknown> | undefined = read();
@@ -40,7 +40,7 @@
 }
 
 describe('status of roll-outs', () => {
-  it('rejects the write of a leader with an outdated order, which then writes no more', async () => {
+  it('a leader with an outdated order gets a conflict and then writes no more', async () => {
     const { createLeader, states } = setUp();
     const outdated = createLeader();
     const upToDate = createLeader();
