--- a/lab/sidecarMain.ts
+++ b/lab/sidecarMain.ts
@@ -1,7 +1,7 @@
 /** One sidecar as a process of its own for experiments. */
 import { readFileSync } from 'node:fs';
 import { PlatformStore } from '../platform/store-client.js';
-import { DecisionLog, descriptorSink, gatherLines } from '../src/diagnostics/decision-log.js';
+import { batchLines, DecisionLog, descriptorSink } from '../src/diagnostics/decision-log.js';
 import { SidecarMetrics } from '../src/diagnostics/sidecar-metrics.js';
 import { NODE_KIND } from '../src/directory/directory-sync.js';
 import type { OwnerRecord } from '../src/directory/owner-entry.js';
@@ -50,7 +50,7 @@
     plan.settings.node,
     () => clocks.clock.now(),
     descriptorSink(STANDARD_OUTPUT),
-    gatherLines,
+    batchLines,
   ),
   new SidecarMetrics(),
 );
--- a/src/diagnostics/decision-log.ts
+++ b/src/diagnostics/decision-log.ts
@@ -6,13 +6,13 @@
 import { write } from 'node:fs';
 
 /** Values of a log line. */
-export type DecisionFields = Readonly<Record<string, unknown>>;
+export type LogFields = Readonly<Record<string, unknown>>;
 
 /** Writes bytes somewhere and calls back. */
 export type LogSink = (bytes: Buffer, done: () => void) => void;
 
 /** Calls back a little later. */
-export type Delay = (callback: () => void) => void;
+export type Defer = (callback: () => void) => void;
 
 /**
  * Lines about requests of this many milliseconds are written together: each write wakes a thread
@@ -21,7 +21,7 @@
 const GATHER_MS = 50;
 
 /** Gathers lines for a while. */
-export const gatherLines: Delay = (callback) => {
+export const batchLines: Defer = (callback) => {
   setTimeout(callback, GATHER_MS);
 };
 
@@ -55,17 +55,17 @@
     private readonly now: () => number,
     private readonly sink: LogSink,
     /** How lines about requests are gathered; at once when left out. */
-    private readonly gather: Delay = (callback) => callback(),
+    private readonly gather: Defer = (callback) => callback(),
   ) {}
 
   /** Writes a line that must not be lost to sampling: start, stop, dependencies. */
-  event(event: string, fields: DecisionFields = {}): void {
+  event(event: string, fields: LogFields = {}): void {
     this.put(event, fields);
     this.flush();
   }
 
   /** Writes a line about a request; bounded by rate. */
-  decision(event: string, fields: DecisionFields): void {
+  decision(event: string, fields: LogFields): void {
     const now = this.now();
     if (now - this.secondStart >= MILLISECONDS_PER_SECOND) {
       this.secondStart = now;
@@ -86,7 +86,7 @@
     }
   }
 
-  private put(event: string, fields: DecisionFields): void {
+  private put(event: string, fields: LogFields): void {
     const dropped = this.droppedSince > 0 ? { droppedLines: this.droppedSince } : {};
     const at = Math.round(this.now());
     const line = Buffer.from(
--- a/src/diagnostics/sidecar-metrics.ts
+++ b/src/diagnostics/sidecar-metrics.ts
@@ -2,7 +2,7 @@
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import type { RequestRecord } from '../ingress/requestRecord.js';
 import type { TaskRecord } from '../owner/owner-report.js';
-import type { TrafficTotals } from './loadLine.js';
+import type { TrafficTotals } from './usageReporter.js';
 
 const DURATION_BUCKETS_SECONDS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
--- a/src/diagnostics/unreadableLog.test.ts
+++ b/src/diagnostics/unreadableLog.test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from 'vitest';
-import { createUnreadableLog, EntryKind } from './unreadableLog.js';
+import { createUnreadableLog, UnreadableEntryKind } from './unreadableLog.js';
 
 it('has one line for a kind now and then, which counts what came since', () => {
   const lines: unknown[] = [];
@@ -9,11 +9,11 @@
     { event: (event, fields) => void lines.push({ event, ...fields }) },
   );
   for (now = 0; now < 10_000; now += 100) {
-    note(EntryKind.Heartbeat, `i-${now}`, 'not readable: state');
+    note(UnreadableEntryKind.Heartbeat, `i-${now}`, 'not readable: state');
   }
-  note(EntryKind.OwnerRecord, 'n'.repeat(1_000), 'not readable');
+  note(UnreadableEntryKind.OwnerRecord, 'n'.repeat(1_000), 'not readable');
   now = 10_000;
-  note(EntryKind.Heartbeat, 'i-last', 'not readable: slots');
+  note(UnreadableEntryKind.Heartbeat, 'i-last', 'not readable: slots');
   const reason = 'not readable: state';
   expect(lines).toEqual([
     { event: 'unreadable', kind: 'heartbeat', name: 'i-0', reason, count: 1 },
--- a/src/diagnostics/unreadableLog.ts
+++ b/src/diagnostics/unreadableLog.ts
@@ -12,7 +12,7 @@
 const LONGEST_TEXT = 120;
 
 /** What an entry that cannot be used was to be. */
-export enum EntryKind {
+export enum UnreadableEntryKind {
   Heartbeat = 'heartbeat',
   StoreObject = 'store-object',
   OwnerRecord = 'owner-record',
@@ -21,12 +21,12 @@
 }
 
 /** Notes an entry by its name, and why it cannot be used. */
-export type NoteUnreadable = (kind: EntryKind, name: string, reason: string) => void;
+export type NoteUnreadable = (kind: UnreadableEntryKind, name: string, reason: string) => void;
 
 /** The line `unreadable` tells of the entry that caused it, and counts those since the line before. */
 export function createUnreadableLog(clock: Clock, log: Pick<DecisionLog, 'event'>): NoteUnreadable {
-  const counts = new Map<EntryKind, number>();
-  const toldAt = new Map<EntryKind, number>();
+  const counts = new Map<UnreadableEntryKind, number>();
+  const toldAt = new Map<UnreadableEntryKind, number>();
   return (kind, name, reason) => {
     const count = (counts.get(kind) ?? 0) + 1;
     counts.set(kind, count);
--- a/src/diagnostics/loadLine.test.ts
+++ b/src/diagnostics/usageReporter.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, expect, it, vi } from 'vitest';
 import { DecisionLog } from './decision-log.js';
-import { startLoadLine } from './loadLine.js';
+import { startUsageReporter } from './usageReporter.js';
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -20,7 +20,7 @@
       done();
     },
   );
-  const load = startLoadLine(log);
+  const load = startUsageReporter(log);
   load.noteSent('Offer', 100);
   load.noteSent('Offer', 50);
   load.noteReceived('config', 7);
--- a/src/diagnostics/loadLine.ts
+++ b/src/diagnostics/usageReporter.ts
@@ -22,7 +22,7 @@
 }
 
 /** Adds up; runs until stopped. */
-export interface LoadLine {
+export interface UsageReporter {
   readonly totals: TrafficTotals;
   noteSent(message: string, bytes: number): void;
   noteReceived(kind: string, bytes: number): void;
@@ -32,7 +32,7 @@
   stop(): void;
 }
 
-export function startLoadLine(log: DecisionLog): LoadLine {
+export function startUsageReporter(log: DecisionLog): UsageReporter {
   const totals = { sent: {} as Sums, received: {} as Sums, relayed: {} as Sums };
   let told: TrafficTotals = structuredClone(totals);
   let longestReplyMs = 0;
--- a/src/sidecar/auxiliaryHandlers.ts
+++ b/src/sidecar/auxiliaryHandlers.ts
@@ -1,7 +1,8 @@
 /** What a sidecar answers to the small calls from outside: metrics, readiness, registrations. */
-import type { TrafficTotals } from '../diagnostics/loadLine.js';
+
 import type { SidecarGauges, SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
-import { EntryKind, type NoteUnreadable } from '../diagnostics/unreadableLog.js';
+import { type NoteUnreadable, UnreadableEntryKind } from '../diagnostics/unreadableLog.js';
+import type { TrafficTotals } from '../diagnostics/usageReporter.js';
 import type { LocalOwner } from '../owner/local-owner.js';
 import type { AuxiliaryHandler, AuxiliaryResponse } from './auxiliaryServer.js';
 import type { PlatformAdapter } from './platformAdapter.js';
@@ -50,14 +51,14 @@
       case 'heartbeat':
         if (!owner.heartbeat(registration.beat)) {
           const { instance, service } = registration.beat;
-          noteUnreadable(EntryKind.Heartbeat, instance, `no service is named ${service}`);
+          noteUnreadable(UnreadableEntryKind.Heartbeat, instance, `no service is named ${service}`);
         }
         return answerOf(200);
       case 'deregister':
         owner.deregister(registration.life);
         return answerOf(200);
       default:
-        noteUnreadable(EntryKind.Heartbeat, path, registration.reason);
+        noteUnreadable(UnreadableEntryKind.Heartbeat, path, registration.reason);
         return answerOf(400);
     }
   };
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -1,9 +1,9 @@
-import { type LoadLine, startLoadLine } from '../diagnostics/loadLine.js';
 import {
   createUnreadableLog,
-  EntryKind,
   type NoteUnreadable,
+  UnreadableEntryKind,
 } from '../diagnostics/unreadableLog.js';
+import { startUsageReporter, type UsageReporter } from '../diagnostics/usageReporter.js';
 import { createAnnouncementBroadcast } from '../directory/announcementBroadcast.js';
 import { createCrossZoneBudget } from '../directory/crossZoneBudget.js';
 import { DirectorySync } from '../directory/directory-sync.js';
@@ -51,7 +51,7 @@
   readonly peers: PeerServer;
   readonly reads: PooledPeerClient;
   readonly relay: ZoneRelay;
-  readonly usageReporter: LoadLine;
+  readonly usageReporter: UsageReporter;
   readonly noteUnreadable: NoteUnreadable;
   readonly quotas: QuotaPart;
   /** This node's own record, as the other nodes get it. */
@@ -65,7 +65,7 @@
   const { names } = platform;
   const { zone } = settings();
 
-  const usageReporter = startLoadLine(log);
+  const usageReporter = startUsageReporter(log);
   const onSent = (kind: MessageKind, bytes: number) => {
     usageReporter.noteSent(MessageKind[kind], bytes);
   };
@@ -76,7 +76,7 @@
 
   const noteUnreadable = createUnreadableLog(clock, log);
   platform.store.onUnreadable = (kind, reason) =>
-    noteUnreadable(EntryKind.StoreObject, kind, reason);
+    noteUnreadable(UnreadableEntryKind.StoreObject, kind, reason);
 
   const record = () => ownRecordOf(settings());
   const sender = (): PeerSender => ({
@@ -147,7 +147,7 @@
     onOwnerChange: (name, change, detail) => log.event('owner', { owner: name, change, detail }),
     onLeft: (name) => quotas.noteLeft(name),
     onReport: (address, told) => configuration.noteVersion(address, told.version),
-    onUnreadable: (name) => noteUnreadable(EntryKind.OwnerRecord, name, 'not readable'),
+    onUnreadable: (name) => noteUnreadable(UnreadableEntryKind.OwnerRecord, name, 'not readable'),
   });
 
   const quarantines = createQuarantineSync({
@@ -161,7 +161,8 @@
     onConnected: onStore('quarantines'),
     onQuarantineChange: ({ fingerprint, caller: from }, change, origin, crashes) =>
       log.event('quarantine', { fingerprint, caller: from, change, origin, crashes }),
-    onUnreadable: (name, origin) => noteUnreadable(EntryKind.CrashRecord, name, `from ${origin}`),
+    onUnreadable: (name, origin) =>
+      noteUnreadable(UnreadableEntryKind.CrashRecord, name, `from ${origin}`),
   });
 
   const nodes = () => (sync.isSynced ? directory.size : Number.POSITIVE_INFINITY);
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -1,5 +1,5 @@
 /** What a sidecar reads of the store: by way of its zone's readers, and the configuration. */
-import type { LoadLine } from '../diagnostics/loadLine.js';
+import type { UsageReporter } from '../diagnostics/usageReporter.js';
 import { NODE_KIND } from '../directory/directory-sync.js';
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
@@ -25,7 +25,7 @@
 
 /** What the relay needs besides. */
 export interface RelayPartContext extends SidecarPartsContext {
-  readonly usageReporter: LoadLine;
+  readonly usageReporter: UsageReporter;
   readonly directory: OwnerDirectory;
   readonly reads: PooledPeerClient;
   readonly record: () => OwnerRecord;
