--- a/lab/demoMesh.ts
+++ b/lab/demoMesh.ts
@@ -77,7 +77,7 @@
     traffic: TRAFFIC,
     operator: (words, write = () => {}) =>
       runCli(words, {
-        outside: labOperatorOutside((address) => new PlatformStore(address)),
+        platform: labOperatorOutside((address) => new PlatformStore(address)),
         write,
         writeError: write,
         defaultStore: operatorWay.address,
--- a/lab/labOutside.ts
+++ b/lab/labOutside.ts
@@ -1,6 +1,6 @@
 /** How the lab's deployment spells things: as the product's own model does. */
 import { PLATFORM_ROLLOUTS } from '../platform/rollouts.js';
-import type { OperatorOutside } from '../src/cli/operatorOutside.js';
+import type { OperatorPlatform } from '../src/cli/operatorPlatform.js';
 import { DEFAULT_HEADER_NAMES } from '../src/owner/header-names.js';
 import type { PlatformAdapter, Registration } from '../src/sidecar/platformAdapter.js';
 import type { ConfigurationCandidate } from '../src/source/configuration-holder.js';
@@ -31,7 +31,7 @@
 }
 
 /** For operators. */
-export function labOperatorOutside(connect: OperatorOutside['connect']): OperatorOutside {
+export function labOperatorOutside(connect: OperatorPlatform['connect']): OperatorPlatform {
   return {
     ...CONFIGURATION,
     connect,
--- a/src/cli/applyCommand.ts
+++ b/src/cli/applyCommand.ts
@@ -4,12 +4,12 @@
 import type { CommandContext } from './commands.js';
 import { readConfigurationFile } from './configurationFile.js';
 import { ExitCode } from './exitCode.js';
-import { refuse, unavailable } from './failures.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import {
   type FleetResult,
   laggards,
   type NodeStatus,
-  readNewestHeld,
+  readNewestHeldVersion,
   readWholeFleet,
 } from './fleetStatus.js';
 import type { Output } from './output.js';
@@ -22,7 +22,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** How `apply` goes about it. */
-export interface ApplyPlan {
+export interface ApplyOptions {
   readonly file: string;
   /** Version that the operator has last seen; anything else in the store is a conflict. */
   readonly expected: number | undefined;
@@ -31,22 +31,25 @@
 }
 
 /** Puts a file in the place of the whole configuration. */
-export async function apply(context: CommandContext, plan: ApplyPlan): Promise<ExitCode> {
-  const { outside, store, output } = context;
+export async function apply(context: CommandContext, plan: ApplyOptions): Promise<ExitCode> {
+  const { platform, store, output } = context;
   const { configuration, findings } = readConfigurationFile(plan.file);
   if (!configuration) {
-    return refuse(findings, output);
+    return reportRejected(findings, output);
   }
-  const [read, newestHeld] = await Promise.all([readStored(store, outside), readNewestHeld(store)]);
+  const [read, newestHeld] = await Promise.all([
+    readStored(store, platform),
+    readNewestHeldVersion(store),
+  ]);
   if (read.kind === 'unavailable') {
-    return unavailable(read.failure, output);
+    return reportUnavailable(read.failure, output);
   }
   const { stored } = read;
   const found = stored?.version ?? 0;
   if (plan.expected !== undefined && found !== plan.expected) {
     return reportWrite({ kind: 'conflict', version: found }, output);
   }
-  const result = await replaceStored(store, outside, stored, configuration, newestHeld);
+  const result = await replaceStored(store, platform, stored, configuration, newestHeld);
   const code = reportWrite(result, output);
   return result.kind === 'accepted' && plan.waitSeconds !== undefined
     ? waitInForce(context, { version: result.version, object: result.object }, plan.waitSeconds)
@@ -66,11 +69,11 @@
   { version, object }: AwaitedVersion,
   seconds: number,
 ): Promise<ExitCode> {
-  const { store, output, outside } = context;
+  const { store, output, platform } = context;
   const startedAt = performance.now();
   const waitedMs = () => Math.round(performance.now() - startedAt);
   for (;;) {
-    const [read, fleet] = await Promise.all([readStored(store, outside), readWholeFleet(store)]);
+    const [read, fleet] = await Promise.all([readStored(store, platform), readWholeFleet(store)]);
     if (object && read.kind === 'read' && isLost(read.stored, object)) {
       return tellLost(version, output);
     }
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -5,15 +5,15 @@
 import { configurationDiff } from './configurationDiff.js';
 import { readConfigurationFile } from './configurationFile.js';
 import { ExitCode } from './exitCode.js';
-import { refuse, unavailable } from './failures.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import { laggards, type NodeStatus, readFleet } from './fleetStatus.js';
-import type { OperatorOutside } from './operatorOutside.js';
+import type { OperatorPlatform } from './operatorPlatform.js';
 import { type Output, tableOf } from './output.js';
-import { readStored, type Stored } from './storedConfiguration.js';
+import { readStored, type StoredConfiguration } from './storedConfiguration.js';
 
 /** What every command is given. */
 export interface CommandContext {
-  readonly outside: OperatorOutside;
+  readonly platform: OperatorPlatform;
   readonly store: ObjectStore;
   readonly output: Output;
 }
@@ -22,7 +22,7 @@
 export function validate(file: string, output: Output): ExitCode {
   const { configuration, findings } = readConfigurationFile(file);
   if (!configuration) {
-    return refuse(findings, output);
+    return reportRejected(findings, output);
   }
   const { routes, services, policies, secrets } = configuration;
   output.result(
@@ -42,7 +42,7 @@
 
 /** Prints the configuration that the store holds. */
 export function get(context: CommandContext): Promise<ExitCode> {
-  return withStored(context, ({ version, configuration }) => {
+  return withStoredConfiguration(context, ({ version, configuration }) => {
     context.output.result({ version, configuration }, () =>
       `# version ${version}\n${toYaml(withoutVersion(configuration))}`.trimEnd(),
     );
@@ -54,9 +54,9 @@
 export function diff(context: CommandContext, file: string): Promise<ExitCode> {
   const { configuration, findings } = readConfigurationFile(file);
   if (!configuration) {
-    return Promise.resolve(refuse(findings, context.output));
+    return Promise.resolve(reportRejected(findings, context.output));
   }
-  return withStored(context, (stored) => {
+  return withStoredConfiguration(context, (stored) => {
     const changes = configurationDiff(stored.configuration, configuration);
     context.output.result({ version: stored.version, changes }, () =>
       changes.length === 0
@@ -69,13 +69,13 @@
 
 /** Prints which version each node has in force, and who is behind. */
 export async function status(context: CommandContext): Promise<ExitCode> {
-  const { outside, store, output } = context;
-  const [read, fleet] = await Promise.all([readStored(store, outside), readFleet(store)]);
+  const { platform, store, output } = context;
+  const [read, fleet] = await Promise.all([readStored(store, platform), readFleet(store)]);
   if (read.kind === 'unavailable') {
-    return unavailable(read.failure, output);
+    return reportUnavailable(read.failure, output);
   }
   if (fleet.kind === 'unavailable') {
-    return unavailable(fleet.failure, output);
+    return reportUnavailable(fleet.failure, output);
   }
   const version = read.stored?.version ?? 0;
   const { nodes } = fleet;
@@ -89,17 +89,17 @@
 }
 
 /** Reads what the store holds; says so if it cannot be read or is not there. */
-export async function withStored(
-  { outside, store, output }: CommandContext,
-  use: (stored: Stored) => ExitCode,
+export async function withStoredConfiguration(
+  { platform, store, output }: CommandContext,
+  use: (stored: StoredConfiguration) => ExitCode,
 ): Promise<ExitCode> {
-  const read = await readStored(store, outside);
+  const read = await readStored(store, platform);
   if (read.kind === 'unavailable') {
-    return unavailable(read.failure, output);
+    return reportUnavailable(read.failure, output);
   }
   if (!read.stored) {
     const message = 'the store holds no configuration';
-    return refuse([{ code: 'no-configuration', path: '', message }], output);
+    return reportRejected([{ code: 'no-configuration', path: '', message }], output);
   }
   return use(read.stored);
 }
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,28 +1,28 @@
 /** Prints how a request would be decided. */
-import { type CommandContext, withStored } from './commands.js';
+import { type CommandContext, withStoredConfiguration } from './commands.js';
 import { ExitCode } from './exitCode.js';
-import { type AskedRequest, type Explanation, explain } from './explanation.js';
-import { refuse, unavailable } from './failures.js';
+import { type Explanation, explain, type RequestDescription } from './explanation.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import { readRecords } from './fleetStatus.js';
 import { tableOf } from './output.js';
 
 export async function explainRequest(
   context: CommandContext,
-  asked: AskedRequest,
+  asked: RequestDescription,
 ): Promise<ExitCode> {
   const found = await readRecords(context.store);
   if ('failure' in found) {
-    return unavailable(found.failure, context.output);
+    return reportUnavailable(found.failure, context.output);
   }
-  return withStored(context, ({ version, configuration }) => {
+  return withStoredConfiguration(context, ({ version, configuration }) => {
     if (!configuration) {
       const message = 'the stored configuration does not pass the checks';
-      return refuse([{ code: 'invalid', path: '', message }], context.output);
+      return reportRejected([{ code: 'invalid', path: '', message }], context.output);
     }
     const { tenant } = asked;
     if (tenant !== undefined && !configuration.tenants.some(({ name }) => name === tenant)) {
       const message = `version ${version} has no tenant ${tenant}`;
-      return refuse([{ code: 'no-tenant', path: 'tenants', message }], context.output);
+      return reportRejected([{ code: 'no-tenant', path: 'tenants', message }], context.output);
     }
     const explanation = explain({ ...configuration, version }, found.records, asked);
     context.output.result(explanation, () => describe(explanation));
--- a/src/cli/explanation.ts
+++ b/src/cli/explanation.ts
@@ -8,7 +8,7 @@
 import { type ExplainedAccess, explainAccess } from './explainedAccess.js';
 
 /** A request, as an operator describes it. */
-export interface AskedRequest {
+export interface RequestDescription {
   readonly host: string;
   readonly method: string;
   readonly path: string;
@@ -43,7 +43,7 @@
 export function explain(
   configuration: MeshConfiguration,
   records: readonly OwnerRecord[],
-  asked: AskedRequest,
+  asked: RequestDescription,
 ): Explanation {
   const { version } = configuration;
   // Secrets play no part in the decision.
--- a/src/cli/failures.ts
+++ b/src/cli/failures.ts
@@ -5,13 +5,13 @@
 import type { Output } from './output.js';
 
 /** What was given does not pass the checks. */
-export function refuse(findings: readonly Finding[], output: Output): ExitCode {
+export function reportRejected(findings: readonly Finding[], output: Output): ExitCode {
   output.failure({ findings }, findings.map(formatFinding).join('\n'));
   return ExitCode.Rejected;
 }
 
 /** The store has not done what was asked. */
-export function unavailable(failure: StoreFailure, output: Output): ExitCode {
+export function reportUnavailable(failure: StoreFailure, output: Output): ExitCode {
   output.failure({ failure }, `The store cannot be used: ${failure}.`);
   return ExitCode.Unavailable;
 }
--- a/src/cli/fleetStatus.ts
+++ b/src/cli/fleetStatus.ts
@@ -95,7 +95,7 @@
 }
 
 /** The newest version that some of the nodes hold, 0 if none of them answers. */
-export async function readNewestHeld(store: ObjectStore): Promise<number> {
+export async function readNewestHeldVersion(store: ObjectStore): Promise<number> {
   const found = await readRecords(store);
   if ('failure' in found) {
     return 0;
--- a/src/cli/operatorOutside.ts
+++ b/src/cli/operatorPlatform.ts
@@ -4,7 +4,7 @@
 import type { ConfigurationCandidate } from '../source/configuration-holder.js';
 import type { ObjectStore } from '../source/object-store.js';
 
-export interface OperatorOutside {
+export interface OperatorPlatform {
   /** `address` is `host:port`. */
   readonly connect: (address: string) => ObjectStore;
   /** Kind and name of the configuration object. */
--- a/src/cli/quarantineCommands.ts
+++ b/src/cli/quarantineCommands.ts
@@ -3,14 +3,14 @@
 import { type ObjectStore, ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
-import { refuse, unavailable } from './failures.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import { tableOf } from './output.js';
 
 /** Prints the quarantines that the store holds. */
 export async function listQuarantines({ store, output }: CommandContext): Promise<ExitCode> {
   const listed = await readCrashes(store);
   if (!listed.ok) {
-    return unavailable(listed.failure, output);
+    return reportUnavailable(listed.failure, output);
   }
   const quarantines = listed.value.items.flatMap(({ name, spec }) =>
     spec.quarantined.map(({ fingerprint, caller, crashes }) => ({
@@ -38,19 +38,19 @@
 ): Promise<ExitCode> {
   const listed = await readCrashes(store);
   if (!listed.ok) {
-    return unavailable(listed.failure, output);
+    return reportUnavailable(listed.failure, output);
   }
   const proofs = listed.value.items.filter(({ spec }) =>
     spec.quarantined.some((each) => each.fingerprint === fingerprint),
   );
   if (proofs.length === 0) {
     const message = `no request with the fingerprint ${fingerprint} is quarantined`;
-    return refuse([{ code: 'no-quarantine', path: '', message }], output);
+    return reportRejected([{ code: 'no-quarantine', path: '', message }], output);
   }
   for (const { name, revision } of proofs) {
     const result = await store.remove(CRASH_KIND, name, revision);
     if (!result.ok) {
-      return unavailable(result.failure, output);
+      return reportUnavailable(result.failure, output);
     }
   }
   output.result({ lifted: fingerprint }, () => `The quarantine of ${fingerprint} is lifted.`);
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -13,7 +13,7 @@
 } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
-import { refuse, unavailable } from './failures.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import { readFleet } from './fleetStatus.js';
 import { type Output, tableOf } from './output.js';
 import { readStored } from './storedConfiguration.js';
@@ -30,7 +30,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /** What an operator asks for. */
-export interface AskedRollout {
+export interface RolloutRequest {
   readonly service: string;
   readonly targetVersion: string;
   readonly durationMs: number;
@@ -41,21 +41,21 @@
 /** Orders a roll-out, unless one of the service runs or it cannot be carried out. */
 export async function startRollout(
   context: CommandContext,
-  asked: AskedRollout,
+  asked: RolloutRequest,
 ): Promise<ExitCode> {
-  const { store, output, outside } = context;
-  const { rollouts } = outside;
+  const { store, output, platform } = context;
+  const { rollouts } = platform;
   if (!rollouts) {
-    return refuse([NOT_FOLLOWED], output);
+    return reportRejected([NOT_FOLLOWED], output);
   }
-  const read = await readStored(store, outside);
+  const read = await readStored(store, platform);
   if (read.kind === 'unavailable') {
-    return unavailable(read.failure, output);
+    return reportUnavailable(read.failure, output);
   }
   const services = read.stored?.configuration?.services.map(({ name }) => name);
   const held = await readOrder(store, rollouts, asked.service);
   if (held.failure !== undefined) {
-    return unavailable(held.failure, output);
+    return reportUnavailable(held.failure, output);
   }
   const findings = [
     ...findingsOf(asked, services),
@@ -63,7 +63,7 @@
     ...standingFindings(asked, held.order),
   ];
   if (findings.length > 0) {
-    return refuse(findings, output);
+    return reportRejected(findings, output);
   }
   const spec = rollouts.encode(asked);
   const result = await writeOrder(store, rollouts.kind, { asked, held, spec });
@@ -72,16 +72,16 @@
 
 /** Prints the orders that the store holds, or that of one service. */
 export async function rolloutStatus(
-  { store, output, outside }: CommandContext,
+  { store, output, platform }: CommandContext,
   service: string | undefined,
 ): Promise<ExitCode> {
-  const { rollouts } = outside;
+  const { rollouts } = platform;
   if (!rollouts) {
-    return refuse([NOT_FOLLOWED], output);
+    return reportRejected([NOT_FOLLOWED], output);
   }
   const listed = await store.list<unknown>(rollouts.kind, ReadConsistency.Strong);
   if (!listed.ok) {
-    return unavailable(listed.failure, output);
+    return reportUnavailable(listed.failure, output);
   }
   const orders = listed.value.items
     .flatMap((object) => rollouts.decode(object) ?? [])
@@ -100,13 +100,13 @@
 
 /** Prints each state of an order until it ends; `TimedOut` if that takes too long. */
 export async function watchRollout(
-  { store, output, outside }: CommandContext,
+  { store, output, platform }: CommandContext,
   service: string,
   timeoutSeconds: number,
 ): Promise<ExitCode> {
-  const { rollouts } = outside;
+  const { rollouts } = platform;
   if (!rollouts) {
-    return refuse([NOT_FOLLOWED], output);
+    return reportRejected([NOT_FOLLOWED], output);
   }
   const until = performance.now() + timeoutSeconds * MILLISECONDS_PER_SECOND;
   let last = '';
@@ -133,7 +133,7 @@
 
 /** Undefined services when no configuration can be read: then nothing is said of them. */
 function findingsOf(
-  { service, durationMs }: AskedRollout,
+  { service, durationMs }: RolloutRequest,
   services: readonly string[] | undefined,
 ): Finding[] {
   const unknown: Finding = {
@@ -153,7 +153,7 @@
 }
 
 /** A version that every back end of the service has leaves nothing to move. */
-async function versionFindings(store: ObjectStore, asked: AskedRollout): Promise<Finding[]> {
+async function versionFindings(store: ObjectStore, asked: RolloutRequest): Promise<Finding[]> {
   const fleet = await readFleet(store);
   const owners =
     fleet.kind === 'known' ? fleet.nodes.filter(({ service }) => service === asked.service) : [];
@@ -172,7 +172,10 @@
     : [];
 }
 
-function standingFindings({ replaces }: AskedRollout, order: RolloutOrder | undefined): Finding[] {
+function standingFindings(
+  { replaces }: RolloutRequest,
+  order: RolloutOrder | undefined,
+): Finding[] {
   if (!order || hasEnded(order) || replaces) {
     return [];
   }
@@ -188,7 +191,7 @@
 }
 
 interface NewOrder {
-  readonly asked: AskedRollout;
+  readonly asked: RolloutRequest;
   readonly held: HeldOrder;
   readonly spec: unknown;
 }
@@ -222,7 +225,7 @@
   return result.failure === 'not-found' ? {} : { failure: result.failure };
 }
 
-function started({ service, targetVersion, durationMs }: AskedRollout, output: Output): ExitCode {
+function started({ service, targetVersion, durationMs }: RolloutRequest, output: Output): ExitCode {
   output.result(
     { started: service, targetVersion, durationMs },
     () => `The roll-out of ${service} to ${targetVersion} is ordered.`,
@@ -242,7 +245,7 @@
     );
     return ExitCode.Unknown;
   }
-  return unavailable(failure, output);
+  return reportUnavailable(failure, output);
 }
 
 function shown({ service, targetVersion, durationMs, state }: RolloutOrder) {
--- a/src/cli/runCli.ts
+++ b/src/cli/runCli.ts
@@ -6,10 +6,10 @@
 import { type CommandContext, diff, get, status, validate } from './commands.js';
 import { ExitCode } from './exitCode.js';
 import { explainRequest } from './explainCommand.js';
-import type { OperatorOutside } from './operatorOutside.js';
+import type { OperatorPlatform } from './operatorPlatform.js';
 import { createOutput, type Write } from './output.js';
 import { liftQuarantine, listQuarantines } from './quarantineCommands.js';
-import { addRolloutCommands } from './rolloutWords.js';
+import { addRolloutCommands } from './rolloutCommandLine.js';
 import { putSecret } from './secretCommands.js';
 import { listTenants, showTenant } from './tenantCommands.js';
 
@@ -17,7 +17,7 @@
 
 /** Where the program meets the world. */
 export interface CliContext {
-  readonly outside: OperatorOutside;
+  readonly platform: OperatorPlatform;
   readonly write: Write;
   readonly writeError: Write;
   /** Address of the store if the command names none. */
@@ -31,11 +31,13 @@
     options: { readonly store: string; readonly json: boolean },
     command: (context: CommandContext) => Promise<ExitCode>,
   ) => {
-    const connected = context.outside.connect(options.store);
+    const connected = context.platform.connect(options.store);
     const store = createEraGuard({ clock: monotonicClock, store: connected });
     connected.onEra = store.noteEra;
     const output = createOutput(options.json, context.write, context.writeError);
-    code = await command({ outside: context.outside, store, output }).finally(() => store.close());
+    code = await command({ platform: context.platform, store, output }).finally(() =>
+      store.close(),
+    );
   };
   const parser = yargs([...words])
     .scriptName('spindlepaddle')
--- a/src/cli/secretCommands.ts
+++ b/src/cli/secretCommands.ts
@@ -5,7 +5,7 @@
 import { ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
-import { unavailable } from './failures.js';
+import { reportUnavailable } from './failures.js';
 import { reportWrite } from './writeReport.js';
 
 /** Writes the value of a secret and prints the digest by which a configuration names it. */
@@ -17,7 +17,7 @@
   const value = readFileSync(file, 'utf8').trimEnd();
   const listed = await store.list<SecretObject>(SECRET_KIND, ReadConsistency.Strong);
   if (!listed.ok) {
-    return unavailable(listed.failure, output);
+    return reportUnavailable(listed.failure, output);
   }
   const known = listed.value.items.find((item) => item.name === name);
   const result = known
@@ -26,7 +26,7 @@
   if (!result.ok) {
     return result.failure === 'conflict'
       ? reportWrite({ kind: 'conflict', version: undefined }, output)
-      : unavailable(result.failure, output);
+      : reportUnavailable(result.failure, output);
   }
   const digest = secretDigest(value);
   output.result({ name, digest }, () => `Secret ${name} has the digest ${digest}.`);
--- a/src/cli/storedConfiguration.ts
+++ b/src/cli/storedConfiguration.ts
@@ -9,14 +9,14 @@
   type StoreFailure,
 } from '../source/object-store.js';
 import { mayBeLost } from '../source/storeRevision.js';
-import type { OperatorOutside } from './operatorOutside.js';
+import type { OperatorPlatform } from './operatorPlatform.js';
 
 /** Attempts to learn what became of a write whose answer was lost, and the pause between them. */
 const MAX_WRITES = 6;
 const WRITE_RETRY_MS = 400;
 
 /** What is in the store. */
-export interface Stored {
+export interface StoredConfiguration {
   readonly object: StoredObject<unknown>;
   readonly version: number;
   /** Undefined if it does not pass this program's checks. */
@@ -24,7 +24,7 @@
 }
 
 export type ReadResult =
-  | { readonly kind: 'read'; readonly stored: Stored | undefined }
+  | { readonly kind: 'read'; readonly stored: StoredConfiguration | undefined }
   | { readonly kind: 'unavailable'; readonly failure: StoreFailure };
 
 /** What became of a change. */
@@ -36,14 +36,14 @@
 /** Reads the configuration that the store holds now. */
 export async function readStored(
   store: ObjectStore,
-  outside: OperatorOutside,
+  platform: OperatorPlatform,
 ): Promise<ReadResult> {
-  const listed = await store.list<unknown>(outside.configurationKind, ReadConsistency.Strong);
+  const listed = await store.list<unknown>(platform.configurationKind, ReadConsistency.Strong);
   if (!listed.ok) {
     return { kind: 'unavailable', failure: listed.failure };
   }
-  const object = listed.value.items.find(({ name }) => name === outside.configurationName);
-  const decoded = object && outside.decodeConfiguration(object.spec);
+  const object = listed.value.items.find(({ name }) => name === platform.configurationName);
+  const decoded = object && platform.decodeConfiguration(object.spec);
   if (!object || !decoded) {
     return { kind: 'read', stored: undefined };
   }
@@ -59,14 +59,14 @@
  */
 export async function replaceStored(
   store: ObjectStore,
-  outside: OperatorOutside,
-  base: Stored | undefined,
+  platform: OperatorPlatform,
+  base: StoredConfiguration | undefined,
   configuration: MeshConfiguration,
   newestHeld = 0,
 ): Promise<WriteResult> {
   const version = Math.max(base?.version ?? 0, newestHeld) + 1;
-  const spec = outside.encodeConfiguration({ ...configuration, version });
-  const { configurationKind: kind, configurationName: name } = outside;
+  const spec = platform.encodeConfiguration({ ...configuration, version });
+  const { configurationKind: kind, configurationName: name } = platform;
   for (let attempt = 1; ; attempt += 1) {
     const result = base
       ? await store.replace(kind, { name, revision: base.object.revision, spec })
@@ -75,7 +75,7 @@
       return { kind: 'accepted', version, object: result.value };
     }
     if (result.failure === 'conflict' || result.failure === 'not-found') {
-      return whoWon(store, outside, spec, version);
+      return whoWon(store, platform, spec, version);
     }
     if (result.failure !== 'unknown') {
       const isRefused = result.failure === 'rejected';
@@ -90,11 +90,11 @@
 
 async function whoWon(
   store: ObjectStore,
-  outside: OperatorOutside,
+  platform: OperatorPlatform,
   spec: unknown,
   version: number,
 ): Promise<WriteResult> {
-  const now = await readStored(store, outside);
+  const now = await readStored(store, platform);
   if (now.kind === 'unavailable') {
     return { kind: 'unknown', failure: now.failure };
   }
@@ -104,12 +104,15 @@
     : { kind: 'conflict', version: stored?.version };
 }
 
-function isSpec({ object }: Stored, spec: unknown): boolean {
+function isSpec({ object }: StoredConfiguration, spec: unknown): boolean {
   return isDeepStrictEqual(object.spec, JSON.parse(JSON.stringify(spec)));
 }
 
 /** True if the store has come back from a copy since a write, and holds something else. */
-export function isLost(stored: Stored | undefined, written: StoredObject<unknown>): boolean {
+export function isLost(
+  stored: StoredConfiguration | undefined,
+  written: StoredObject<unknown>,
+): boolean {
   return (
     !stored ||
     (mayBeLost(written.revision, stored.object.revision) && !isSpec(stored, written.spec))
--- a/src/cli/tenantCommands.ts
+++ b/src/cli/tenantCommands.ts
@@ -4,7 +4,7 @@
 import { USAGE_WINDOW_MS } from '../tenants/tenantUsage.js';
 import type { CommandContext } from './commands.js';
 import { ExitCode } from './exitCode.js';
-import { refuse, unavailable } from './failures.js';
+import { reportRejected, reportUnavailable } from './failures.js';
 import { readRecords, readTenantUses } from './fleetStatus.js';
 import { tableOf } from './output.js';
 import { readStored } from './storedConfiguration.js';
@@ -38,11 +38,11 @@
     const found = tenants.filter((tenant) => tenant.name === name);
     if (found.length === 0) {
       const message = `version ${version} has no tenant ${name}`;
-      return refuse([{ code: 'no-tenant', path: 'tenants', message }], context.output);
+      return reportRejected([{ code: 'no-tenant', path: 'tenants', message }], context.output);
     }
     const listed = await readRecords(context.store);
     if ('failure' in listed) {
-      return unavailable(listed.failure, context.output);
+      return reportUnavailable(listed.failure, context.output);
     }
     const uses = await readTenantUses(listed.records);
     const sumOf = (kind: 'admitted' | 'refused'): number =>
@@ -61,12 +61,12 @@
 }
 
 async function withTenants(
-  { store, outside, output }: CommandContext,
+  { store, platform, output }: CommandContext,
   use: (tenants: readonly MeshTenant[], version: number) => ExitCode | Promise<ExitCode>,
 ): Promise<ExitCode> {
-  const read = await readStored(store, outside);
+  const read = await readStored(store, platform);
   if (read.kind === 'unavailable') {
-    return unavailable(read.failure, output);
+    return reportUnavailable(read.failure, output);
   }
   return use(read.stored?.configuration?.tenants ?? [], read.stored?.version ?? 0);
 }
