--- a/test/operatorCommand.ts
+++ b/test/operatorCommand.ts
@@ -12,7 +12,7 @@
   const printed: string[] = [];
   const errors: string[] = [];
   const code = await runCli(['--json', ...commandLine], {
-    outside: labOperatorOutside(() => view),
+    platform: labOperatorOutside(() => view),
     write: (text) => printed.push(text),
     writeError: (text) => errors.push(text),
     defaultStore: '127.0.0.1:1',
