--- a/src/ingress/attempt.ts
+++ b/src/ingress/attempt.ts
@@ -1,37 +1,37 @@
-/** A request at one owner, from its offer to its outcome. */
+/** Offers a request to one owner and follows the offer until its outcome. */
 import type { OwnerEntry } from '../directory/owner-entry.js';
 import type { Clock } from '../model/clock.js';
 import { Cancellation } from '../owner/cancellation.js';
 import type { OwnerOutcome, OwnerTask } from '../owner/owner.js';
 
-/** The owner is not heard of any longer, though it may still answer. */
+/** The owner that has the request no longer sends any messages. It may still answer. */
 export const SILENT = 'silent';
 
 export interface Attempt {
   readonly entry: OwnerEntry;
-  /** Offers that the request had made before. */
+  /** Number of earlier offers of the same request. */
   readonly earlierOffers: number;
-  /** Steady time in milliseconds. */
+  /** Steady time of the offer, in milliseconds. */
   readonly startedAt: number;
   /** Never rejects. */
   readonly outcome: Promise<OwnerOutcome>;
-  /** Resolves if the owner falls silent. */
+  /** Resolves if the owner falls silent; see {@link SILENT}. Never rejects. */
   readonly silence: Promise<typeof SILENT>;
-  /** Nobody waits for the outcome any longer. */
+  /** Cancels the request at this owner, as its outcome is no longer needed. */
   cancel(): void;
 }
 
-/** What an attempt is made of. */
+/** The input of {@link startAttempt}. */
 export interface AttemptContext {
   readonly entry: OwnerEntry;
   readonly task: OwnerTask;
-  /** False if the owner is to turn the task away unless a slot is free. */
+  /** False if the owner must reject the task unless a slot is free. */
   readonly mayWait: boolean;
   readonly clock: Clock;
   readonly earlierOffers: number;
 }
 
-/** Offers the task to an owner. */
+/** Offers a task to an owner. */
 export function startAttempt({
   entry,
   task,
@@ -40,7 +40,7 @@
   earlierOffers,
 }: AttemptContext): Attempt {
   const cancellation = new Cancellation();
-  const release = task.cancellation.onCancel(() => cancellation.cancel());
+  const removeListener = task.cancellation.onCancel(() => cancellation.cancel());
   let fallSilent: (silent: typeof SILENT) => void = () => {};
   const silence = new Promise<typeof SILENT>((resolve) => {
     fallSilent = resolve;
@@ -60,7 +60,7 @@
     })
     .finally(() => {
       entry.outstanding -= 1;
-      release();
+      removeListener();
     });
   return { entry, earlierOffers, startedAt, outcome, silence, cancel: () => cancellation.cancel() };
 }
--- a/src/ingress/client-answer.ts
+++ b/src/ingress/client-answer.ts
@@ -1,16 +1,16 @@
-/** Final answers to clients: a back end's own, or a refusal by the node. */
+/** Sends final answers to clients: the answer of a back end, or a refusal by the node. */
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
 import { type MessageBody, sendBody } from '../owner/message-body.js';
 import type { OwnerAnswer } from '../owner/owner.js';
 
-/** Why a node answers by itself. */
+/** Reasons for which a node refuses a request. */
 export type RefusalCode =
   | 'no-configuration'
   | 'configuration-behind'
   | 'no-route'
-  /** It carries no key, more than one, or one that no tenant holds. */
+  /** The request carries no key, more than one key, or a key that no tenant holds. */
   | 'unknown-key'
-  /** Its tenant has sent more than its limit. */
+  /** The tenant of the request has sent more than its quota allows. */
   | 'over-quota'
   | 'too-large'
   | 'head-too-large'
@@ -24,20 +24,20 @@
   | 'deadline'
   | 'timeout'
   | 'lost'
-  /** It has crashed a back end that ran nothing else. */
+  /** The request has crashed a back end that ran nothing else. */
   | 'quarantined';
 
-/** A refusal; 503 promises that the request has not run and never will. */
+/** A refusal. Status 503 promises that the request has not run and never will. */
 export interface ClientRefusal {
   readonly code: RefusalCode;
   readonly status: 400 | 401 | 404 | 413 | 429 | 431 | 502 | 503 | 504;
-  /** Milliseconds after which to come back, for 429 and 503. */
+  /** Milliseconds after which the client may retry, for status 429 and 503. */
   readonly retryAfterMs?: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Sends a refusal. */
+/** `closes` is true if the refusal is the last answer on its connection. */
 export function sendRefusal(
   response: ServerResponse,
   refusal: ClientRefusal,
@@ -60,7 +60,10 @@
   response.end(body);
 }
 
-/** Passes a back end's answer on. Rejects when it breaks off; the connection must then break too. */
+/**
+ * Passes a back end's answer on. Rejects if the answer breaks off; the caller must then close the
+ * client's connection, so that the client sees that the answer is incomplete.
+ */
 export async function sendAnswer(
   response: ServerResponse,
   answer: OwnerAnswer,
@@ -69,7 +72,7 @@
 ): Promise<void> {
   const fields = [
     ...answer.headers,
-    ...framingOf(answer, method),
+    ...framingFieldsOf(answer, method),
     ...(closes ? ['Connection', 'close'] : []),
   ];
   response.writeHead(answer.status, fields as unknown as OutgoingHttpHeaders);
@@ -79,9 +82,9 @@
 const NO_CONTENT = 204;
 const NOT_MODIFIED = 304;
 
-function framingOf(answer: OwnerAnswer, method: string): string[] {
-  const hasNone = method === 'HEAD' || [NO_CONTENT, NOT_MODIFIED].includes(answer.status);
-  return answer.body.kind === 'bytes' && !hasNone
+function framingFieldsOf(answer: OwnerAnswer, method: string): string[] {
+  const hasNoBody = method === 'HEAD' || [NO_CONTENT, NOT_MODIFIED].includes(answer.status);
+  return answer.body.kind === 'bytes' && !hasNoBody
     ? ['Content-Length', String(answer.body.bytes.length)]
     : [];
 }
--- a/src/ingress/clientAccess.ts
+++ b/src/ingress/clientAccess.ts
@@ -1,26 +1,32 @@
-/** Keys in clients' requests: who a request is from, and which fields of it stay here. */
+/**
+ * Decides from the key in a client's request which tenant sent it, and lists the header fields that
+ * are not passed on to owners or policies.
+ */
 import type http from 'node:http';
 import type { HeaderNames } from '../owner/header-names.js';
 import type { MeshRoute } from '../routing/mesh-configuration.js';
 import type { RouteMatcher } from '../routing/route-matcher.js';
 import { type Access, decideAccess } from '../tenants/access.js';
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface ClientAccessContext {
   readonly names: HeaderNames;
-  /** True when there may be a newer configuration than the one in force here. */
+  /** True if there may be a newer configuration than the one in force at this node. */
   readonly mayBeBehind: () => boolean;
-  /** True when a key may have been taken away so long ago that it must not be believed any longer. */
+  /**
+   * True if the configuration may be so old that keys revoked since then must no longer be
+   * accepted.
+   */
   readonly isTooStale: () => boolean;
 }
 
-/** One per ingress. */
+/** The access rules of an ingress. */
 export interface ClientAccess {
-  /** `routes` is the configuration that decides, `route` the route of the request. */
+  /** `routes` is made from the configuration in force, `route` is the route of the request. */
   decide(request: http.IncomingMessage, routes: RouteMatcher, route: MeshRoute): Access;
   /** Names of header fields, in lower case, that clients may not set. */
   reservedFields(hasTenants: boolean): ReadonlySet<string>;
-  /** Those of them that are about tenants; none without tenants. */
+  /** The reserved fields that identify a tenant, in lower case. Empty without tenants. */
   tenantFields(hasTenants: boolean): ReadonlySet<string>;
 }
 
@@ -32,10 +38,10 @@
   isTooStale,
 }: ClientAccessContext): ClientAccess {
   const keyField = names.apiKey.toLowerCase();
-  const always = [names.deadline, names.expectInstance, names.callerService];
-  const reserved = new Set(always.map((name) => name.toLowerCase()));
-  const ofTenants = new Set([...spellingsOf(names.apiKey), ...spellingsOf(names.tenant)]);
-  const reservedWithTenants = new Set([...reserved, ...ofTenants]);
+  const reservedNames = [names.deadline, names.expectInstance, names.callerService];
+  const reserved = new Set(reservedNames.map((name) => name.toLowerCase()));
+  const tenantNames = new Set([...spellingsOf(names.apiKey), ...spellingsOf(names.tenant)]);
+  const reservedWithTenants = new Set([...reserved, ...tenantNames]);
   return {
     decide: (request, { keyring }, { isPublic }) =>
       decideAccess({
@@ -45,19 +51,20 @@
         mayBeStale: mayBeBehind(),
         isTooStale: isTooStale(),
       }),
-    tenantFields: (hasTenants) => (hasTenants ? ofTenants : NO_FIELDS),
+    tenantFields: (hasTenants) => (hasTenants ? tenantNames : NO_FIELDS),
     reservedFields: (hasTenants) => (hasTenants ? reservedWithTenants : reserved),
   };
 }
 
 /**
- * A name in lower case, with each dash also as an underscore: many servers give their programs both
- * under one name (RFC 3875, section 4.1.18).
+ * All spellings of a name in lower case in which each dash may be an underscore. Many servers pass
+ * both spellings to their programs under one name (RFC 3875, section 4.1.18).
  */
 function spellingsOf(name: string): string[] {
-  const [first = '', ...rest] = name.toLowerCase().split('-');
-  return rest.reduce<string[]>(
-    (spellings, part) => spellings.flatMap((start) => [`${start}-${part}`, `${start}_${part}`]),
+  const [first = '', ...laterParts] = name.toLowerCase().split('-');
+  return laterParts.reduce<string[]>(
+    (spellings, part) =>
+      spellings.flatMap((spelling) => [`${spelling}-${part}`, `${spelling}_${part}`]),
     [first],
   );
 }
--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Brings one client's request to an owner: chooses, offers, repeats where that
- * is allowed, and gives up at once when nothing is left to try.
+ * Brings one client's request to an owner. Chooses an owner, offers it the request, retries with
+ * other owners as far as that is allowed, and refuses the request at once if no owner is left.
  */
 
 import type { CrossZoneBudget } from '../directory/crossZoneBudget.js';
@@ -38,23 +38,25 @@
 
 const FIRST_FAILED_STATUS = 500;
 
-/** One offer and its fate, for the log. */
+/** One offer and its result, for the log. */
 export interface OfferRecord {
   readonly owner: string;
   readonly zone: string;
   readonly result: string;
   readonly tookMs: number;
-  /** Present if the owner had fallen silent before; while it has not ended, the result is `silent`. */
+  /**
+   * Present if the offer ended after its owner had fallen silent. Until it ends, its result is
+   * `silent`.
+   */
   readonly wasSilent?: boolean;
 }
 
-/** How a dispatch ended. */
 export interface DispatchResult {
   readonly result: OwnerAnswer | ClientRefusal;
   readonly offers: readonly OfferRecord[];
 }
 
-/** What every dispatch of a node shares. */
+/** Dependencies on the node, which all its dispatches share. */
 export interface DispatchContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
@@ -63,44 +65,44 @@
   readonly retryAfterPacer: RetryAfterPacer;
   readonly offerLimit: OfferLimit;
   readonly crashTracker: CrashTracker;
-  /** Left out where no roll-outs are followed. */
+  /** Undefined if the node does not follow roll-outs. */
   readonly versionSelector?: VersionSelector | undefined;
 }
 
-/** One per request. */
+/** The dispatch of one request. */
 export class Dispatch {
   /** Attempts that have not ended. */
   private readonly running = new Set<Attempt>();
-  /** Those among them whose owner has fallen silent. */
+  /** Running attempts whose owner has fallen silent. */
   private readonly silent = new Set<Attempt>();
   private readonly tried = new Set<OwnerEntry>();
-  /** One for each attempt, in the order of their first words. */
+  /** The record of each attempt, in the order in which their first results arrived. */
   private readonly offers = new Map<Attempt, OfferRecord>();
-  /** Back ends that the request has, or may have, been sent to. */
+  /** Number of attempts that reached, or may have reached, a back end. */
   private arrivals = 0;
-  /** Owners of the own zone that had no room. */
+  /** Number of owners in this node's zone that rejected the request because they were busy. */
   private busyInZone = 0;
-  /** True once a back end may have run the request. */
+  /** True if a back end may have run the request. */
   private mayHaveRun = false;
   private lastNotRun: OwnerNotRun | undefined;
   private readonly choice: OwnerChoice;
-  private readonly share: VersionSelection;
-  private readonly key: RequestKey;
+  private readonly versionSelection: VersionSelection;
+  private readonly crashKey: RequestKey;
   private readonly refusals: DispatchRefusals;
 
   constructor(
     private readonly context: DispatchContext,
     private readonly task: OwnerTask,
     private readonly maxAttempts: number,
-    /** Size of the request's body; infinite when it is not known. */
+    /** Size of the request's body; infinite if it is unknown. */
     bodyBytes: number,
     readonly mayServe?: OwnerCriteria['mayServe'],
   ) {
-    this.share =
+    this.versionSelection =
       context.versionSelector?.select(task.service, task.route) ?? UNRESTRICTED_SELECTION;
-    // One for each request: naming the fields costs a fraction of what spreading the context does.
+    // This runs for each request, and naming the fields costs a fraction of spreading the context.
     const { clock, directory, crossZoneBudget, retryAfterPacer, crashTracker } = context;
-    const { share } = this;
+    const { versionSelection: share } = this;
     this.choice = createOwnerChoice({
       directory,
       crossZoneBudget,
@@ -109,19 +111,19 @@
       mayServe,
       share,
     });
-    this.key = crashKeyOf(task);
+    this.crashKey = crashKeyOf(task);
     this.refusals = createDispatchRefusals({
       clock,
       directory,
       retryAfterPacer,
       crashTracker,
       service: task.service,
-      key: this.key,
+      key: this.crashKey,
       mayServe,
     });
   }
 
-  /** True when no back end can have run the request so far. */
+  /** True if no back end can have run the request so far. */
   get certainlyNotRun(): boolean {
     return !this.mayHaveRun;
   }
@@ -130,7 +132,7 @@
     return [...this.offers.values()];
   }
 
-  /** Runs to the final answer; the caller's timer may end it sooner by cancelling the task. */
+  /** Resolves with the final answer. The caller's timer ends it early by cancelling the task. */
   async run(): Promise<DispatchResult> {
     this.context.retryBudget.noteRequest(this.task.service, this.context.clock.now());
     if (this.choice.isLarge) {
@@ -139,7 +141,7 @@
     for (;;) {
       if (this.running.size === this.silent.size) {
         const refusal = this.offerNext();
-        // With nobody left to ask, an owner that has fallen silent may still answer.
+        // If no owner is left to ask, one that has fallen silent may still answer.
         if (refusal && this.running.size === 0) {
           return this.end(refusal);
         }
@@ -159,28 +161,28 @@
     return { result, offers: this.history };
   }
 
-  /** Offers the request to one more owner, or says why that cannot be. */
+  /** Offers the request to one more owner. Returns a refusal if that is not possible. */
   private offerNext(): ClientRefusal | undefined {
-    const refusal = this.obstacle();
+    const refusal = this.refusalBeforeOffer();
     if (refusal) {
       return refusal;
     }
     const entry = this.chooseOwner();
     if (!entry) {
-      return this.refusals.noOwner(this.fate);
+      return this.refusals.noOwner(this.progress);
     }
     this.offer(entry);
     return undefined;
   }
 
-  /** What happens first: an attempt ends, or the owner of the newest falls silent. */
+  /** Waits until an attempt ends or the owner of the newest attempt falls silent. */
   private async firstOutcome(): Promise<OwnerOutcome | typeof SILENT> {
-    const ends = [...this.running].map(async (attempt) => ({
+    const outcomes = [...this.running].map(async (attempt) => ({
       attempt,
       outcome: await attempt.outcome,
     }));
     const newest = [...this.running].find((attempt) => !this.silent.has(attempt));
-    const first = await Promise.race(newest ? [...ends, newest.silence] : ends);
+    const first = await Promise.race(newest ? [...outcomes, newest.silence] : outcomes);
     if (first !== SILENT) {
       this.noteOutcome(first.attempt, first.outcome);
       return first.outcome;
@@ -189,14 +191,14 @@
     return SILENT;
   }
 
-  /** Why no further offer may be made, if so. */
-  private obstacle(): ClientRefusal | undefined {
+  /** The refusal if no further offer may be made; undefined if one may be made. */
+  private refusalBeforeOffer(): ClientRefusal | undefined {
     const now = this.context.clock.now();
     if (now >= this.task.deadlineAt || this.task.cancellation.cancelled) {
       return this.giveUp('deadline');
     }
     if (
-      this.standing === QuarantineStatus.Quarantined ||
+      this.quarantineStatus === QuarantineStatus.Quarantined ||
       this.lastNotRun?.reason === 'quarantined'
     ) {
       return this.giveUp('quarantined');
@@ -208,8 +210,10 @@
       return this.giveUp('attempts-spent');
     }
     if (!this.context.offerLimit.allows(this.task.route, this.tried.size)) {
-      const hasNoRoom = !this.mayHaveRun && this.lastNotRun?.reason === 'busy';
-      return hasNoRoom ? this.refusals.ownersBusy(this.fate) : this.giveUp('attempts-spent');
+      const ownersAreBusy = !this.mayHaveRun && this.lastNotRun?.reason === 'busy';
+      return ownersAreBusy
+        ? this.refusals.ownersBusy(this.progress)
+        : this.giveUp('attempts-spent');
     }
     if (this.arrivals > 0 && !this.context.retryBudget.withdraw(this.task.service, now)) {
       return this.giveUp('retry-budget-spent');
@@ -218,34 +222,35 @@
   }
 
   private giveUp(code: ClientRefusal['code']): ClientRefusal {
-    return this.refusals.giveUp(code, this.fate);
+    return this.refusals.giveUp(code, this.progress);
   }
 
-  private get fate(): RequestProgress {
+  private get progress(): RequestProgress {
     return { mayHaveRun: this.mayHaveRun, lastNotRun: this.lastNotRun };
   }
 
   private chooseOwner(): OwnerEntry | undefined {
     const { tried, busyInZone } = this;
-    const isSuspect = this.standing === QuarantineStatus.Suspect;
+    const isSuspect = this.quarantineStatus === QuarantineStatus.Suspect;
     return this.choice.next({ tried, busyInZone, isSuspect, now: this.context.clock.now() });
   }
 
-  private get standing(): QuarantineStatus {
-    return this.context.crashTracker.statusOf(this.key, this.context.clock.now());
+  private get quarantineStatus(): QuarantineStatus {
+    return this.context.crashTracker.statusOf(this.crashKey, this.context.clock.now());
   }
 
   private offer(entry: OwnerEntry): void {
     const earlierOffers = this.tried.size;
     this.tried.add(entry);
-    this.share.noteOffer(entry.record.node);
-    // A suspect has this one owner to run at.
-    const mayWait = this.choice.mayWaitAt(entry) || this.standing === QuarantineStatus.Suspect;
+    this.versionSelection.noteOffer(entry.record.node);
+    // A suspect runs at this owner only, so it must be able to wait there.
+    const mayWait =
+      this.choice.mayWaitAt(entry) || this.quarantineStatus === QuarantineStatus.Suspect;
     const { clock } = this.context;
     this.running.add(startAttempt({ entry, task: this.task, mayWait, clock, earlierOffers }));
   }
 
-  /** The owner has the task: it counts as arrived, and may have run. */
+  /** The owner has received the task, so the task counts as arrived and may have run. */
   private noteSilence(attempt: Attempt): void {
     this.silent.add(attempt);
     this.arrivals += 1;
@@ -256,32 +261,33 @@
   private noteOutcome(attempt: Attempt, outcome: OwnerOutcome): void {
     const { entry } = attempt;
     this.running.delete(attempt);
-    const isCounted = this.silent.delete(attempt);
-    this.noteShare(entry, outcome);
+    const hasCountedArrival = this.silent.delete(attempt);
+    this.noteVersionOutcome(entry, outcome);
     if (outcome.kind === 'answer' || (outcome.kind === 'not-run' && outcome.reason === 'busy')) {
-      const isTaken = outcome.kind === 'answer';
-      this.context.offerLimit.noteOutcome(this.task.route, attempt.earlierOffers, isTaken);
+      const isAccepted = outcome.kind === 'answer';
+      this.context.offerLimit.noteOutcome(this.task.route, attempt.earlierOffers, isAccepted);
     }
     if (outcome.kind === 'not-run') {
-      const isBusyNear = outcome.reason === 'busy' && this.context.directory.isInOwnZone(entry);
-      this.busyInZone += isBusyNear ? 1 : 0;
+      const isBusyInOwnZone =
+        outcome.reason === 'busy' && this.context.directory.isInOwnZone(entry);
+      this.busyInZone += isBusyInOwnZone ? 1 : 0;
       this.lastNotRun = outcome;
-      this.arrivals += outcome.arrived && !isCounted ? 1 : 0;
+      this.arrivals += outcome.arrived && !hasCountedArrival ? 1 : 0;
       const now = this.context.clock.now();
       entry.noteRejection(outcome.reason, this.task.priority, outcome.retryAfterMs, now);
     } else {
-      this.arrivals += isCounted ? 0 : 1;
+      this.arrivals += hasCountedArrival ? 0 : 1;
       this.mayHaveRun = true;
     }
     const detail = outcome.kind === 'answer' ? outcome.status : outcome.reason;
     this.record(attempt, `${outcome.kind} ${detail}`);
   }
 
-  private noteShare({ record }: OwnerEntry, outcome: OwnerOutcome): void {
+  private noteVersionOutcome({ record }: OwnerEntry, outcome: OwnerOutcome): void {
     if (outcome.kind === 'not-run' && !outcome.arrived) {
-      this.share.noteUndelivered(record.node);
+      this.versionSelection.noteUndelivered(record.node);
     } else if (outcome.kind !== 'answer' || outcome.status >= FIRST_FAILED_STATUS) {
-      this.share.noteFailure(record.node);
+      this.versionSelection.noteFailure(record.node);
     }
   }
 
--- a/src/ingress/dispatchRefusals.ts
+++ b/src/ingress/dispatchRefusals.ts
@@ -1,4 +1,4 @@
-/** What a client is told when its request is brought to no owner, or no further. */
+/** Makes the refusals of requests that cannot be offered to an owner, or to no further one. */
 import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
 import type { Clock } from '../model/clock.js';
 import type { OwnerNotRun } from '../owner/owner.js';
@@ -6,13 +6,16 @@
 import type { ClientRefusal } from './client-answer.js';
 import type { RetryAfterPacer } from './retryAfterPacer.js';
 
-/** Told when an obstacle other than a lack of room was met, in milliseconds. */
+/**
+ * Time to retry, in milliseconds, if the reason is neither a lack of free slots nor a quarantine
+ * and the owners have given no time.
+ */
 const MIN_RETRY_AFTER_MS = 20;
 
-/** Told when no owner of the service is known to be ready, in milliseconds. */
+/** Time to retry, in milliseconds, if no owner of the service may be offered the request. */
 const NO_OWNER_RETRY_AFTER_MS = 250;
 
-/** What the refusals are made from. */
+/** The request and the dependencies on the node. */
 export interface DispatchRefusalsContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
@@ -23,30 +26,30 @@
   readonly mayServe: OwnerCriteria['mayServe'];
 }
 
-/** What has become of the request so far. */
+/** The state of a request so far. */
 export interface RequestProgress {
-  /** True once a back end may have run it. */
+  /** True if a back end may have run the request. */
   readonly mayHaveRun: boolean;
-  /** The newest word of an owner that did not run it. */
+  /** The newest outcome of an offer that certainly did not run the request. */
   readonly lastNotRun: OwnerNotRun | undefined;
 }
 
 export interface DispatchRefusals {
-  /** No owner is left to ask: the request has not run unless an earlier offer may have. */
-  noOwner(fate: RequestProgress): ClientRefusal;
-  /** The owners that were asked are full: clients come back at the pace of what is served. */
-  ownersBusy(fate: RequestProgress): ClientRefusal;
-  /** It is not offered again. */
-  giveUp(code: ClientRefusal['code'], fate: RequestProgress): ClientRefusal;
+  /** The refusal if no owner is left to ask. 503 unless an earlier offer may have run it. */
+  noOwner(progress: RequestProgress): ClientRefusal;
+  /** The refusal if the owners were busy. It spreads retries at the pace of completed requests. */
+  ownersBusy(progress: RequestProgress): ClientRefusal;
+  /** The refusal for any other reason. */
+  giveUp(code: ClientRefusal['code'], progress: RequestProgress): ClientRefusal;
 }
 
 export function createDispatchRefusals(context: DispatchRefusalsContext): DispatchRefusals {
   const { clock, directory, retryAfterPacer, crashTracker, service, key, mayServe } = context;
 
-  /** Milliseconds until some owner may be asked again; infinite when none is up. */
-  const restMs = (): number => directory.backoffMs(service, clock.now());
+  /** Milliseconds until some owner may be asked again; infinite if none is up. */
+  const ownerBackoffMs = (): number => directory.backoffMs(service, clock.now());
 
-  /** True when owners of the service are up, and placement policies allow none of them. */
+  /** True if owners of the service are up and the placement policies allow none of its owners. */
   const isDenied = (): boolean => {
     const owners = directory.ownersOf(service);
     const isUp = owners.some((entry) => !entry.absenceReason);
@@ -54,9 +57,10 @@
   };
 
   const ownersBusy = ({ lastNotRun }: RequestProgress): ClientRefusal => {
-    const rest = restMs();
+    const backoffMs = ownerBackoffMs();
     const waitMs =
-      lastNotRun?.retryAfterMs ?? (Number.isFinite(rest) ? rest : NO_OWNER_RETRY_AFTER_MS);
+      lastNotRun?.retryAfterMs ??
+      (Number.isFinite(backoffMs) ? backoffMs : NO_OWNER_RETRY_AFTER_MS);
     const retryAfterMs = retryAfterPacer.nextRetryAfterMs(service, waitMs, clock.now());
     return { code: 'busy', status: 503, retryAfterMs };
   };
@@ -76,16 +80,16 @@
   };
 
   return {
-    noOwner: (fate) => {
-      if (fate.mayHaveRun) {
-        return giveUp('no-owner', fate);
+    noOwner: (progress) => {
+      if (progress.mayHaveRun) {
+        return giveUp('no-owner', progress);
       }
       if (isDenied()) {
         return { code: 'placement-denied', status: 503, retryAfterMs: NO_OWNER_RETRY_AFTER_MS };
       }
-      const isBusy = fate.lastNotRun?.reason === 'busy';
-      return isBusy || Number.isFinite(restMs())
-        ? ownersBusy(fate)
+      const isBusy = progress.lastNotRun?.reason === 'busy';
+      return isBusy || Number.isFinite(ownerBackoffMs())
+        ? ownersBusy(progress)
         : { code: 'no-owner', status: 503, retryAfterMs: NO_OWNER_RETRY_AFTER_MS };
     },
     ownersBusy,
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -1,4 +1,4 @@
-/** One client's request, from its head to the final answer. */
+/** Serves one client's request, from its head to the final answer. */
 import type http from 'node:http';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import type { Clock } from '../model/clock.js';
@@ -20,7 +20,10 @@
 import type { RequestRecord } from './requestRecord.js';
 import { timeLimitOf } from './timeLimit.js';
 
-/** Told while no configuration is known, or a newer one may exist, in milliseconds. */
+/**
+ * Time to retry, in milliseconds, if the node has no configuration or there may be a newer one than
+ * the one in force.
+ */
 const NO_CONFIGURATION_RETRY_AFTER_MS = 250;
 
 const BEHIND: ClientRefusal = {
@@ -29,24 +32,24 @@
   retryAfterMs: NO_CONFIGURATION_RETRY_AFTER_MS,
 };
 
-/** Told while the node stops, in milliseconds: others serve at once. */
+/** Time to retry while the node stops, in milliseconds. Short, as other nodes can serve at once. */
 const STOPPING_RETRY_AFTER_MS = 20;
 
-/** What the ingress needs of its node. */
+/** Dependencies on the node. */
 export interface IngressOptions extends DispatchContext, ClientAccessContext {
   readonly clock: Clock;
   readonly timers: SuspendAwareTimers;
   readonly routes: () => RouteMatcher | undefined;
-  /** This node's own record. */
+  /** The record of this node. */
   readonly ownRecord: () => OwnerRecord;
-  /** Service that runs on this machine. */
+  /** Name of the service whose back end runs on this machine. */
   readonly callerService: () => string;
-  /** Without one, no tenant is limited. */
+  /** Undefined if no quota applies to tenants. */
   readonly quotaGate?: QuotaGate | undefined;
   readonly onFinished: (record: RequestRecord) => void;
 }
 
-/** Serves one request; created for each. */
+/** One client's request. */
 export class IngressRequest {
   private readonly cancellation = new Cancellation();
   private readonly startedAt: number;
@@ -54,10 +57,10 @@
   private route: MeshRoute | undefined;
   private service = '';
   private tenant: MeshTenant | undefined;
-  /** True if a configuration that decided about it has tenants. */
+  /** True if a configuration that decided on this request has tenants. */
   private hasTenants = false;
   private quota: QuotaRefusalDetails | undefined;
-  /** Gives back what was taken of the tenant's quota. */
+  /** Puts the request's token back into the tenant's quota. */
   private refundQuota = (): void => {};
   private fingerprint = '';
   private version = 0;
@@ -78,8 +81,9 @@
   }
 
   /**
-   * `mayClose` says, as the answer is rendered, whether it is to close the connection; `latestEnd`
-   * is the steady time in milliseconds by which a planned stop would cut the request off.
+   * `mayClose` is called when the answer is written and returns true if the answer must close the
+   * connection. `latestEnd` is the steady time in milliseconds at which a planned stop would cut
+   * the request off.
    */
   async run(mayClose: () => boolean, latestEnd: number): Promise<void> {
     this.request.on('error', () => {});
@@ -125,20 +129,20 @@
     if (body === 'too-large') {
       this.refuse({ code: 'too-large', status: 413 }, true);
     } else if (body && !this.isFinished && this.isStillAdmitted(routes, matched.route, mayClose)) {
-      // While the body came in, the key may have passed to another tenant.
-      const isSame = this.tenant?.name === tenant?.name;
-      const placed = isSame ? placement : this.placementFor(matched);
-      // Never Left here: the path has been read already.
-      await this.bringToOwner(matched, body, placed.orDefault(undefined), mayClose);
+      // While the body arrived, the key may have been moved to another tenant.
+      const isSameTenant = this.tenant?.name === tenant?.name;
+      const placementNow = isSameTenant ? placement : this.placementFor(matched);
+      // Never Left here, as the same path was accepted above.
+      await this.bringToOwner(matched, body, placementNow.orDefault(undefined), mayClose);
     }
   }
 
-  /** A node that may be behind does not say that a route does not exist: it may be a new one. */
+  /** If there may be a newer configuration, it may have the route; 404 would then be wrong. */
   private noRoute(): ClientRefusal {
     return this.options.mayBeBehind() ? BEHIND : { code: 'no-route', status: 404 };
   }
 
-  /** Takes note of the tenant; refuses a request without a key that lets it in. */
+  /** Stores the tenant of the request. Refuses the request if it lacks a valid key. */
   private isAdmitted(routes: RouteMatcher, route: MeshRoute, mayClose: () => boolean): boolean {
     const access = this.access.decide(this.request, routes, route);
     this.hasTenants ||= routes.keyring.hasTenants;
@@ -155,7 +159,7 @@
     if (decision.isAdmitted) {
       this.refundQuota = decision.refund;
       if (this.isFinished) {
-        // The client has left while holders were asked.
+        // The client has left while the gate asked other holders for tokens.
         this.refundQuota();
       }
       return !this.isFinished;
@@ -166,13 +170,13 @@
     return false;
   }
 
-  /** While a body came in, a version may have taken the key away. */
+  /** Checks the key again, as a new configuration may have revoked it while the body arrived. */
   private isStillAdmitted(
-    before: RouteMatcher,
+    earlierRoutes: RouteMatcher,
     route: MeshRoute,
     mayClose: () => boolean,
   ): boolean {
-    const routes = this.options.routes() ?? before;
+    const routes = this.options.routes() ?? earlierRoutes;
     return !hasBody(this.request) || this.isAdmitted(routes, route, mayClose);
   }
 
@@ -203,7 +207,10 @@
     }
   }
 
-  /** The check of owners by the route's policies, undefined if it has none; Left: the path has no single reading. */
+  /**
+   * The filter of owners by the route's policies. Undefined if the route has none. Left if the path
+   * can be read in more than one way.
+   */
   private placementFor(matched: MatchedRoute): ReturnType<typeof createPlacementFilter> {
     const caller = {
       tenant: this.tenant?.name,
@@ -236,13 +243,14 @@
     return task;
   }
 
-  /** One timer gives the final answer at the client's deadline or the route's time-out. */
+  /** Ends the request at the client's deadline or the route's timeout, whichever is sooner. */
   private startTimer(route: MeshRoute, mayClose: () => boolean): void {
     const deadlineField = this.options.names.deadline.toLowerCase();
     const { allowedMs, code } = timeLimitOf(this.request, deadlineField, route);
     this.allowedMs = allowedMs;
     this.cancelTimer = this.options.timers.set(() => {
-      // The dispatch knows whether the request may have run, and ends at once.
+      // A dispatch ends at once when cancelled; its refusal depends on whether the request may have
+      // run.
       this.cancellation.cancel();
       if (!this.dispatch) {
         this.refuse({ code, status: 503, retryAfterMs: 0 }, mayClose());
@@ -259,7 +267,7 @@
     sendRefusal(this.response, refusal, idField, closes);
   }
 
-  /** The client has left, or has its answer. */
+  /** Called when the client has left or the whole answer has been sent. */
   private onClose(): void {
     this.cancelTimer();
     if (!this.response.writableFinished) {
@@ -274,7 +282,8 @@
     }
     this.isFinished = true;
     this.cancelTimer();
-    // 503 promises that it has not run; of a client that has left, an owner may still have the request.
+    // Status 503 promises that the request has not run. If the client has left, an owner may still
+    // have the request, so its token is not put back.
     if (!this.dispatch || (code !== 'answered' && status === 503)) {
       this.refundQuota();
     }
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -1,4 +1,4 @@
-/** Listens for clients on this machine: each request is an `IngressRequest`. */
+/** Accepts requests from clients. Each request is served by an {@link IngressRequest}. */
 import http from 'node:http';
 import type { Socket } from 'node:net';
 import { listenOn } from '../peer/listenOn.js';
@@ -7,29 +7,29 @@
 import { type IngressOptions, IngressRequest } from './ingress-request.js';
 import { createPipelines } from './pipelines.js';
 
-/** Largest head that is read; the configured limit is checked on what was read. */
+/** Largest head that is read, in bytes. The configured limit is checked after the head was read. */
 const MAX_HEAD_BYTES = 256 * 1024;
 
-/** Limits until a configuration is known. */
+/** Limits in milliseconds that apply until the node has a configuration. */
 const DEFAULT_IDLE_MS = 60_000;
 const DEFAULT_HEADER_TIMEOUT_MS = 10_000;
 
 /** Steady times in milliseconds of a planned stop. */
 export interface ShutdownTimes {
-  /** What arrives from now on must not be cut off. */
+  /** Requests that arrive from this time on must not be cut off. */
   readonly guaranteedFrom: number;
-  /** Everything ends now, whether it is answered or not. */
+  /** All requests end at this time, answered or not. */
   readonly endsAt: number;
 }
 
-/** One per node. */
+/** The ingress of a node. */
 export class IngressServer {
   private readonly server: http.Server;
   private readonly access: ClientAccess;
   private readonly pipelines = createPipelines();
-  private active = 0;
-  private accepting = true;
-  private stop: ShutdownTimes | undefined;
+  private inFlightCount = 0;
+  private isAccepting = true;
+  private shutdown: ShutdownTimes | undefined;
 
   constructor(private readonly options: IngressOptions) {
     this.access = createClientAccess(options);
@@ -50,26 +50,29 @@
     return listenOn(this.server, host, port);
   }
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final answer. */
   get inFlight(): number {
-    return this.active;
+    return this.inFlightCount;
   }
 
-  /** Puts the limits of a configuration in force. */
+  /** Applies the limits of a configuration. */
   setLimits(limits: MeshLimits): void {
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
     this.server.headersTimeout = limits.headerTimeoutMs;
   }
 
-  /** Answers from now on close their connection; what may not end in time is refused. */
-  beginShutdown(stop: ShutdownTimes): void {
-    this.stop = stop;
+  /**
+   * From this call on, answers close their connection, and requests that may not end before the
+   * planned stop are refused.
+   */
+  beginShutdown(shutdown: ShutdownTimes): void {
+    this.shutdown = shutdown;
   }
 
-  /** Takes no new requests; those in flight go on. */
+  /** Serves no new requests. Requests in flight continue. */
   stopAccepting(): void {
-    // Closes idle connections too: the answers on the others tell their clients to close.
-    this.accepting = false;
+    // Closes idle connections too. The answers on other connections ask their clients to close.
+    this.isAccepting = false;
     this.server.close();
   }
 
@@ -80,8 +83,8 @@
 
   private async serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const { socket } = request;
-    if (!this.accepting) {
-      // A client that never lets its connection rest: it sends again what is not answered.
+    if (!this.isAccepting) {
+      // The client keeps its connection busy. It sends requests again that were not answered.
       this.pipelines.closeWhenIdle(socket, () => socket.end());
       return;
     }
@@ -89,27 +92,27 @@
       return;
     }
     response.on('close', () => this.pipelines.end(socket));
-    this.active += 1;
+    this.inFlightCount += 1;
     try {
       const ingressRequest = new IngressRequest(this.options, this.access, request, response);
-      const mayClose = () => this.stop !== undefined && this.pipelines.closeIfLast(socket);
+      const mayClose = () => this.shutdown !== undefined && this.pipelines.closeIfLast(socket);
       await ingressRequest.run(mayClose, this.latestEnd());
     } catch {
-      // Nothing true can be said of a request whose handling failed.
+      // The code cannot tell whether the request has run, so no status would be correct.
       response.destroy();
     } finally {
-      this.active -= 1;
+      this.inFlightCount -= 1;
     }
   }
 
-  /** Steady time in milliseconds by which a request that is taken now must have ended. */
+  /** Steady time in milliseconds by which a request that arrives now must have ended. */
   private latestEnd(): number {
-    const { stop } = this;
-    const isPromised = stop && this.options.clock.now() >= stop.guaranteedFrom;
-    return isPromised ? stop.endsAt : Number.POSITIVE_INFINITY;
+    const { shutdown } = this;
+    const mustNotBeCutOff = shutdown && this.options.clock.now() >= shutdown.guaranteedFrom;
+    return mustNotBeCutOff ? shutdown.endsAt : Number.POSITIVE_INFINITY;
   }
 
-  /** Bytes that are no request: the answers due before them, the protocol's own answer, the end. */
+  /** Handles bytes that are no valid request: sends the answers still due, then 400 or 431. */
   private onClientError(error: NodeJS.ErrnoException, socket: Socket): void {
     if (!socket.writable || error.code === 'ECONNRESET') {
       socket.destroy();
--- a/src/ingress/offerLimit.ts
+++ b/src/ingress/offerLimit.ts
@@ -1,62 +1,64 @@
 /**
- * How many owners a request is offered to before it is refused. Each offer costs both nodes a message
- * and the client time; where a service is full everywhere, the next owner says what the last one said.
- * So the offers after the first go on only while they have been worth it lately: the second to fourth
- * by their own record, and those after them by theirs.
+ * Limits the number of owners that a request is offered to before it is refused. Each offer costs
+ * both nodes a message and the client time. If a service is full everywhere, further owners reject
+ * the request as the first one did. Offers after the first are therefore made only while enough of
+ * them have lately been accepted. The second to fourth offers and the later ones are judged
+ * separately, each by its own share of accepted offers.
  */
 
-/** Offers that are judged together. */
+/** Offers of a request that share a moving average of accepted offers. */
 interface Stage {
-  /** Offers that a request has made before. */
+  /** Number of earlier offers of the request at which the stage begins. */
   readonly start: number;
-  /** Share of its offers that must have been taken lately, for a request to enter it. */
-  readonly worthwhileShare: number;
+  /** Share of the stage's offers that must lately have been accepted for a request to enter it. */
+  readonly minAcceptedShare: number;
 }
 
 /**
- * To the client a refusal is the worst of answers, and three more offers cost a few milliseconds: they go
- * on while one request in ten finds room with them, one offer in thirty. Those after the fourth have
- * had the client wait already, and go on while one offer in ten is taken.
+ * For the client a refusal is the worst answer, and three more offers cost only a few milliseconds.
+ * The second to fourth offers are therefore made while they find a free slot for one request in
+ * ten, which is one offer in thirty. By the fifth offer the client has already waited, so later
+ * offers are made while one in ten is accepted.
  */
 const STAGES: readonly Stage[] = [
-  { start: 1, worthwhileShare: 1 / 30 },
-  { start: 4, worthwhileShare: 0.1 },
+  { start: 1, minAcceptedShare: 1 / 30 },
+  { start: 4, minAcceptedShare: 0.1 },
 ];
 
-/** The most offers that one request may make. */
+/** Largest number of offers of one request. */
 const MAX_OFFERS = 8;
 
-/** Part of the requests that go on all the same, so that room that has come about is found. */
-const PROBING_SHARE = 0.1;
+/** Share of requests that enter a stage regardless, to detect that owners have free slots again. */
+const PROBE_SHARE = 0.1;
 
-/** Weight of the newest offer of a stage in the moving average. */
-const WEIGHT = 0.05;
+/** Weight of the newest offer of a stage in its moving average. */
+const NEWEST_WEIGHT = 0.05;
 
-/** Kept by the ingress for each route: routes of other priorities find room elsewhere. */
+/** Limits offers per route, as routes of other priorities find free slots at other owners. */
 export interface OfferLimit {
-  /** The offer after so many others was taken, or turned away for want of room. */
-  noteOutcome(route: string, earlier: number, isTaken: boolean): void;
-  /** True when a request that has made so many offers may make one more. */
-  allows(route: string, earlier: number): boolean;
+  /** Records that an offer was accepted, or rejected because the owner was busy. */
+  noteOutcome(route: string, earlierOffers: number, isAccepted: boolean): void;
+  /** True if a request with this number of earlier offers may be offered once more. */
+  allows(route: string, earlierOffers: number): boolean;
 }
 
 export function createOfferLimit(random: () => number = Math.random): OfferLimit {
   const shares = new Map<Stage, Map<string, number>>(STAGES.map((stage) => [stage, new Map()]));
   const shareOf = (stage: Stage, route: string) => shares.get(stage)?.get(route) ?? 1;
   return {
-    noteOutcome: (route, earlier, isTaken) => {
-      const stage = STAGES.findLast(({ start }) => earlier >= start);
+    noteOutcome: (route, earlierOffers, isAccepted) => {
+      const stage = STAGES.findLast(({ start }) => earlierOffers >= start);
       if (stage) {
         const share = shareOf(stage, route);
-        shares.get(stage)?.set(route, share + ((isTaken ? 1 : 0) - share) * WEIGHT);
+        shares.get(stage)?.set(route, share + ((isAccepted ? 1 : 0) - share) * NEWEST_WEIGHT);
       }
     },
-    allows: (route, earlier) => {
-      const stage = STAGES.find(({ start }) => earlier === start);
+    allows: (route, earlierOffers) => {
+      const stage = STAGES.find(({ start }) => earlierOffers === start);
       if (!stage) {
-        return earlier < MAX_OFFERS;
+        return earlierOffers < MAX_OFFERS;
       }
-      return shareOf(stage, route) >= stage.worthwhileShare || random() < PROBING_SHARE;
+      return shareOf(stage, route) >= stage.minAcceptedShare || random() < PROBE_SHARE;
     },
   };
 }
--- a/src/ingress/ownerChoice.ts
+++ b/src/ingress/ownerChoice.ts
@@ -1,4 +1,4 @@
-/** Which owner a request is offered to next, and whether it may wait there. */
+/** Chooses the owner that a request is offered to next, and decides whether it may wait there. */
 
 import { type CrossZoneBudget, LARGE_BODY_BYTES } from '../directory/crossZoneBudget.js';
 import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
@@ -7,42 +7,45 @@
 import type { VersionSelection } from '../rollout/versionSelector.js';
 
 /**
- * Owners of the own zone that may be busy before the others are asked: in a zone of a dozen owners
- * that are all full, each further one says the same, while other zones may have free slots.
+ * Number of busy owners in this node's zone after which owners in other zones are preferred. If a
+ * dozen owners of the zone are all full, each of them would reject the request, while other zones
+ * may have free slots.
  */
-const BUSY_NEAR_OWNERS = 2;
+const MAX_BUSY_IN_ZONE = 2;
 
-/** A body whose length is not known, or above this, counts as one of so many bytes. */
-const LONGEST_COUNTED_BODY_BYTES = 1024 * 1024;
+/** Largest body size, in bytes, that the choice uses; also stands for a body of unknown size. */
+const MAX_COUNTED_BODY_BYTES = 1024 * 1024;
 
-/** What the choice is made from. */
+/** The request and the dependencies on the node. */
 export interface OwnerChoiceContext {
   readonly directory: OwnerDirectory;
   readonly crossZoneBudget: CrossZoneBudget;
   readonly task: Pick<OwnerTask, 'service' | 'priority' | 'fingerprint'>;
-  /** Size of the request's body; infinite when it is not known. */
+  /** Size of the request's body; infinite if it is unknown. */
   readonly bodyBytes: number;
+  /** Undefined if no placement policies apply. */
   readonly mayServe: ((record: OwnerRecord) => boolean) | undefined;
-  /** What a roll-out says of the service's versions. */
+  /** The versions of the service that the request may be offered to during a roll-out. */
   readonly share: VersionSelection;
 }
 
-/** What has become of the request so far. */
+/** The state of a request so far. */
 export interface ChoiceState {
   readonly tried: ReadonlySet<OwnerEntry>;
-  /** Owners of the own zone that had no room. */
+  /** Number of owners in this node's zone that rejected the request because they were busy. */
   readonly busyInZone: number;
-  /** True if the request is to run alone, at the same owner whichever node it came to. */
+  /** True if the request must run alone, at the same owner whichever node received it. */
   readonly isSuspect: boolean;
   /** Steady time in milliseconds. */
   readonly now: number;
 }
 
 export interface OwnerChoice {
+  /** True if the body is large; see {@link LARGE_BODY_BYTES}. */
   readonly isLarge: boolean;
-  /** Undefined when nobody is left to ask. */
+  /** Undefined if no owner is left to ask. */
   next(state: ChoiceState): OwnerEntry | undefined;
-  /** While its own zone is up, a request takes only slots that are free in another one. */
+  /** False in another zone while this node's zone has owners: only free slots are used there. */
   mayWaitAt(entry: OwnerEntry): boolean;
 }
 
@@ -51,30 +54,32 @@
   const { service, priority, fingerprint } = task;
   const isLarge = bodyBytes >= LARGE_BODY_BYTES;
 
-  const isPlaced = (record: OwnerRecord) => context.mayServe?.(record) ?? true;
-  const checkNow = (): OwnerCriteria['mayServe'] => {
+  const isAllowedByPolicies = (record: OwnerRecord) => context.mayServe?.(record) ?? true;
+  const fallbackCheck = (): OwnerCriteria['mayServe'] => {
     const { fallback } = share;
-    return fallback ? (record) => fallback(record.node) && isPlaced(record) : context.mayServe;
+    return fallback
+      ? (record) => fallback(record.node) && isAllowedByPolicies(record)
+      : context.mayServe;
   };
-  /** A large body does not leave its zone for the sake of a version. */
-  const firstCheckNow = (): OwnerCriteria['mayServe'] => {
+  /** A large body does not leave its zone to reach a preferred version. */
+  const preferredCheck = (): OwnerCriteria['mayServe'] => {
     const { preferred } = share;
     return (
       preferred &&
       ((record) =>
         preferred(record.node) &&
         (!isLarge || directory.isInOwnZone({ record })) &&
-        isPlaced(record))
+        isAllowedByPolicies(record))
     );
   };
 
-  const best = (
+  const bestOwner = (
     { tried, busyInZone, now }: ChoiceState,
     check: OwnerCriteria['mayServe'],
   ): OwnerEntry | undefined => {
-    const prefersOtherZones = !isLarge && busyInZone >= BUSY_NEAR_OWNERS;
-    const countedBytes = Math.min(bodyBytes, LONGEST_COUNTED_BODY_BYTES);
-    const wish = {
+    const prefersOtherZones = !isLarge && busyInZone >= MAX_BUSY_IN_ZONE;
+    const countedBytes = Math.min(bodyBytes, MAX_COUNTED_BODY_BYTES);
+    const criteria = {
       service,
       priority,
       prefersOwnZone: isLarge,
@@ -82,9 +87,9 @@
       bodyBytes: countedBytes,
       mayServe: check,
     };
-    const entry = directory.choose(wish, tried, now);
+    const entry = directory.choose(criteria, tried, now);
     const leavesZone = entry !== undefined && !directory.isInOwnZone(entry);
-    if (leavesZone && isLarge && directory.hasOwnerInOwnZone(wish)) {
+    if (leavesZone && isLarge && directory.hasOwnerInOwnZone(criteria)) {
       return crossZoneBudget.tryWithdraw() ? entry : undefined;
     }
     return entry;
@@ -94,14 +99,14 @@
     isLarge,
     next: (state) => {
       if (!state.isSuspect) {
-        const first = firstCheckNow();
-        return (first && best(state, first)) ?? best(state, checkNow());
+        const firstCheck = preferredCheck();
+        return (firstCheck && bestOwner(state, firstCheck)) ?? bestOwner(state, fallbackCheck());
       }
-      const only = directory.ownerForRole({ service, mayServe: checkNow() }, fingerprint);
-      return only && !state.tried.has(only) ? only : undefined;
+      const soleOwner = directory.ownerForRole({ service, mayServe: fallbackCheck() }, fingerprint);
+      return soleOwner && !state.tried.has(soleOwner) ? soleOwner : undefined;
     },
     mayWaitAt: (entry) =>
       directory.isInOwnZone(entry) ||
-      !directory.hasOwnerInOwnZone({ service, mayServe: checkNow() }),
+      !directory.hasOwnerInOwnZone({ service, mayServe: fallbackCheck() }),
   };
 }
--- a/src/ingress/ownerTask.ts
+++ b/src/ingress/ownerTask.ts
@@ -1,4 +1,4 @@
-/** A client's request as the task that owners are offered. */
+/** Makes the task that owners are offered from a client's request. */
 import type http from 'node:http';
 import type { Cancellation } from '../owner/cancellation.js';
 import type { MessageBody } from '../owner/message-body.js';
@@ -10,7 +10,7 @@
 import type { MeshTenant } from '../tenants/tenant.js';
 import { hasBody } from './requestMessage.js';
 
-/** What is known of a request once it is admitted. */
+/** An admitted request. */
 export interface AdmittedRequest {
   readonly request: http.IncomingMessage;
   readonly requestId: string;
@@ -19,17 +19,16 @@
   /** Names, in lower case, of fields that are not passed on. */
   readonly reserved: ReadonlySet<string>;
   readonly service: string;
-  /** Service that runs on this machine. */
+  /** Name of the service whose back end runs on this machine. */
   readonly callerService: string;
   readonly tenant: MeshTenant | undefined;
   /** Steady time in milliseconds at which the head was read. */
   readonly startedAt: number;
-  /** Milliseconds from then until the final answer. */
+  /** Milliseconds from `startedAt` until the final answer. */
   readonly allowedMs: number;
   readonly cancellation: Cancellation;
 }
 
-/** The task of a request that is admitted. */
 export function ownerTaskOf(admitted: AdmittedRequest): OwnerTask {
   const { request, matched, body, tenant, startedAt, allowedMs } = admitted;
   const { route, credential } = matched;
@@ -56,7 +55,7 @@
     deadlineAt: startedAt + allowedMs,
     targetAt: startedAt + Math.min(allowedMs, route.targetLatencyMs ?? allowedMs),
     hasBody: hasBody(request),
-    // Set anew for each offer, see `startAttempt`.
+    // `startAttempt` sets this for each offer.
     mayWait: true,
     cancellation: admitted.cancellation,
     bufferedBody: body.kind === 'bytes' ? body : undefined,
--- a/src/ingress/pipelines.ts
+++ b/src/ingress/pipelines.ts
@@ -1,8 +1,8 @@
 /**
- * Requests that share a client's connection. A client may send several before the first is
- * answered; the answers go out in the same order (RFC 9112, section 9.3.2), and one that closes the
- * connection takes the place of all that were to follow. So only the last one may close it, and
- * what arrives behind a closing answer is not served: its client sends it again.
+ * Tracks the requests on each client connection. A client may send several requests before the
+ * first is answered. The answers are sent in the same order (RFC 9112, section 9.3.2), and after an
+ * answer that closes the connection no other can follow. So only the last answer may close the
+ * connection, and requests that arrive after it are not served: the client sends them again.
  */
 import type { Socket } from 'node:net';
 
@@ -12,24 +12,27 @@
   readonly whenIdle: (() => void)[];
 }
 
-/** Keeps count of the requests of each connection. */
+/** The pipelines of all connections of an ingress. */
 export interface Pipelines {
-  /** A request has arrived; false if it must not be served, since its connection is closing. */
+  /** Counts a new request. False if its connection is closing, so that it must not be served. */
   begin(socket: Socket): boolean;
-  /** The request has its whole answer, or will never have one. */
+  /** Called when a request's answer has been sent, or never will be. */
   end(socket: Socket): void;
-  /** True if no other request on the connection waits for an answer; then none will be served. */
+  /**
+   * True if no other request on the connection waits for an answer. From then on, no further
+   * request on it is served.
+   */
   closeIfLast(socket: Socket): boolean;
-  /** Serves nothing more on the connection and calls back when all before is answered. */
+  /** Stops serving the connection; calls back once its earlier requests are answered. */
   closeWhenIdle(socket: Socket, callback: () => void): void;
 }
 
 export function createPipelines(): Pipelines {
   const pipelines = new WeakMap<Socket, Pipeline>();
   const pipelineOf = (socket: Socket): Pipeline => {
-    const known = pipelines.get(socket);
-    if (known) {
-      return known;
+    const existing = pipelines.get(socket);
+    if (existing) {
+      return existing;
     }
     const created: Pipeline = { unanswered: 0, isClosing: false, whenIdle: [] };
     pipelines.set(socket, created);
--- a/src/ingress/placementFilter.ts
+++ b/src/ingress/placementFilter.ts
@@ -1,26 +1,30 @@
-/** Which owners the placement policies of a route allow for one request. */
+/** Filters owners by the placement policies of a request's route. */
 import { type Either, Right } from 'purify-ts';
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import type { PolicyLocality } from '../policy/placement-policy.js';
 import { normalizeRequest, type RequestHead } from '../policy/request-normalizer.js';
 import type { MatchedRoute } from '../routing/route-matcher.js';
 
-/** Says whether an owner may serve the request. */
+/** True if the owner may serve the request. */
 export type OwnerFilter = (record: OwnerRecord) => boolean;
 
-/** Who sends a request, as far as policies may ask. */
+/** The sender of a request, as policies see it. */
 export interface PolicyCaller {
-  /** Name of its tenant. */
+  /** Name of the request's tenant. */
   readonly tenant: string | undefined;
-  /** Names of header fields, in lower case, that policies do not see: keys, and a client's word for its tenant. */
+  /**
+   * Names of header fields, in lower case, that policies do not see: API keys, and the tenant
+   * field, which a client may have set itself.
+   */
   readonly hiddenFields: ReadonlySet<string>;
 }
 
 const NO_CALLER: PolicyCaller = { tenant: undefined, hiddenFields: new Set() };
 
 /**
- * The check for one request; undefined where the route has no policies, so that it costs nothing.
- * Left: the path can be read in more than one way, and the back end might read another one.
+ * Creates the filter for one request. Undefined if the route has no policies, so that such routes
+ * cost nothing. Left if the path can be read in more than one way, as the back end may read it
+ * differently from the policies.
  */
 export function createPlacementFilter(
   request: RequestHead,
@@ -34,24 +38,24 @@
   }
   return normalizeRequest(request).map((normalized) => {
     const context = {
-      request: { ...normalized, headers: without(normalized.headers, hiddenFields), tenant },
+      request: { ...normalized, headers: withoutFields(normalized.headers, hiddenFields), tenant },
       route: { name: route.name, service, kind: route.kind },
       node: localityOf(own),
     };
-    // Owners of one locality get one evaluation.
-    const known = new Map<string, boolean>();
+    // The policies are evaluated once for each locality.
+    const results = new Map<string, boolean>();
     return (record) => {
       const endpoint = localityOf(record);
       const key = JSON.stringify(endpoint);
       const allowed =
-        known.get(key) ?? policies.every((policy) => policy.allows({ ...context, endpoint }));
-      known.set(key, allowed);
+        results.get(key) ?? policies.every((policy) => policy.allows({ ...context, endpoint }));
+      results.set(key, allowed);
       return allowed;
     };
   });
 }
 
-function without(
+function withoutFields(
   headers: Readonly<Record<string, string>>,
   hidden: ReadonlySet<string>,
 ): Readonly<Record<string, string>> {
--- a/src/ingress/requestRecord.ts
+++ b/src/ingress/requestRecord.ts
@@ -1,24 +1,25 @@
-/** What is told of a request once it has its final answer. */
+/** The record of a finished request. */
 import type { QuotaRefusalDetails } from '../tenants/quotaGate.js';
 import type { OfferRecord } from './dispatch.js';
 
-/** One finished request, for logs and metrics. */
+/** A finished request, for logs and metrics. */
 export interface RequestRecord {
   readonly requestId: string;
-  /** See `fingerprintOf`; empty when the request was refused before its body was there. */
+  /** See `fingerprintOf`. Empty if the request was refused before its body had arrived. */
   readonly fingerprint: string;
   readonly route: string;
   readonly service: string;
-  /** Name of the tenant whose key it carried, if one was needed. */
+  /** Name of the tenant whose key the request carried. Undefined if none was needed or valid. */
   readonly tenant: string | undefined;
-  /** What a refusal over the tenant's limit rests on. */
+  /** State of the tenant's quota, if it was the reason of a refusal. */
   readonly quota?: QuotaRefusalDetails | undefined;
+  /** Version of the configuration that decided on the request. */
   readonly version: number;
-  /** Status that the client got; 0 when the client left first. */
+  /** Status that was sent to the client. 0 if the client left before. */
   readonly status: number;
   readonly code: string;
   readonly offers: readonly OfferRecord[];
   readonly durationMs: number;
-  /** Milliseconds that the client was ready to wait at arrival. */
+  /** Milliseconds that the request was allowed to take, from its arrival. */
   readonly allowedMs: number;
 }
--- a/src/ingress/shared-retry-budget.ts
+++ b/src/ingress/shared-retry-budget.ts
@@ -1,9 +1,9 @@
 /**
- * This node's part of a budget that all nodes share: in every window, repeats
- * may add a share of the requests, and a slack. Each node spends only from the
- * requests that it has seen itself and from its part of the slack, so that the
- * sum over all nodes stays inside the bound without a coordinator. What a window
- * allows may be spent at any moment of it, so that a short fault can use it whole.
+ * This node's part of a retry budget that all nodes share. In every window, the number of retries
+ * may be a share of the number of requests, plus a slack. Each node spends only what its own
+ * requests have earned and its part of the slack, so the sum over all nodes stays within the bound
+ * without a coordinator. The budget of a window may be spent at any time in it, so that a short
+ * fault can use all of it.
  */
 
 import {
@@ -11,81 +11,81 @@
   type SlidingWindowCounter,
 } from '../model/slidingWindowCounter.js';
 
-/** The bound that all nodes keep together. */
+/** The bound on the retries of all nodes together. */
 export interface RetryBudgetBounds {
-  /** Repeats for each request. */
+  /** Retries allowed per request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats that are free in each window. */
+  /** Retries allowed in each window in addition to the share of requests. */
   readonly slack: number;
 }
 
-/** Part of the bound that is used: repeats that this node cannot see need room too. */
+/** Part of the bound that is used. The rest is kept for retries that this node cannot see. */
 const USED_SHARE = 0.5;
 
 interface ServiceCounts {
   readonly requests: SlidingWindowCounter;
-  readonly repeats: SlidingWindowCounter;
+  readonly retries: SlidingWindowCounter;
 }
 
-/** One per node. */
+/** The retry budget of a node. */
 export class SharedRetryBudget {
   private readonly counts = new Map<string, ServiceCounts>();
-  /** Most nodes that were ever known at once. */
-  private mostNodes = 1;
+  /** Largest number of nodes since this node started. */
+  private maxNodes = 1;
 
   constructor(
     private readonly bound: () => RetryBudgetBounds,
-    /** Nodes that share the slack; infinite while they are not known. */
+    /** Number of nodes that share the slack; infinite while it is unknown. */
     private readonly nodes: () => number,
   ) {}
 
-  /** Takes note of a request for a service: it earns its share of a repeat. */
+  /** Counts a request for a service, which earns a share of a retry. */
   noteRequest(service: string, now: number): void {
     this.countsOf(service).requests.add(now);
   }
 
-  /** Takes one repeat; false when the budget is spent. */
+  /** Takes one retry from the budget. False if the budget is spent. */
   withdraw(service: string, now: number): boolean {
     if (this.remaining(service, now) < 1) {
       return false;
     }
-    this.countsOf(service).repeats.add(now);
+    this.countsOf(service).retries.add(now);
     return true;
   }
 
-  /** Repeats that are left for a service in the window that ends now. */
+  /** Number of retries left for a service in the window that ends now. */
   remaining(service: string, now: number): number {
     const { ratio, slack } = this.bound();
-    const { requests, repeats } = this.countsOf(service);
+    const { requests, retries } = this.countsOf(service);
     const earned = ratio * USED_SHARE * requests.lowerBound(now);
-    return this.slackHere(slack) + earned - repeats.upperBound(now);
+    return this.ownSlack(slack) + earned - retries.upperBound(now);
   }
 
   /**
-   * This node's part of the slack. A part below one whole repeat is made up by what is earned: were
-   * it rounded up, many nodes together would go beyond the bound.
+   * This node's part of the slack. A part below one retry is not rounded up, as many nodes together
+   * would then exceed the bound. Requests must earn the missing fraction.
    */
-  private slackHere(slack: number): number {
-    // Nodes may come back: the part does not grow when the others are away.
+  private ownSlack(slack: number): number {
+    // The part does not grow while other nodes are away, as they may come back.
     const nodes = this.nodes();
     if (!Number.isFinite(nodes)) {
       return 0;
     }
-    this.mostNodes = Math.max(this.mostNodes, nodes);
-    const part = slack / Math.max(1, this.mostNodes);
+    this.maxNodes = Math.max(this.maxNodes, nodes);
+    const part = slack / Math.max(1, this.maxNodes);
     return Math.max(part * USED_SHARE, Math.min(1, part));
   }
 
   private countsOf(service: string): ServiceCounts {
-    const known = this.counts.get(service);
-    if (known) {
-      return known;
+    const existing = this.counts.get(service);
+    if (existing) {
+      return existing;
     }
     const { windowMs } = this.bound();
     const created = {
       requests: createSlidingWindowCounter(windowMs),
-      repeats: createSlidingWindowCounter(windowMs),
+      retries: createSlidingWindowCounter(windowMs),
     };
     this.counts.set(service, created);
     return created;
