--- a/src/ingress/dispatch.test.ts
+++ b/src/ingress/dispatch.test.ts
@@ -20,26 +20,26 @@
 const lost: OwnerOutcome = { kind: 'unknown', reason: 'peer-lost' };
 const rejected: OwnerOutcome = { kind: 'not-run', reason: 'rejected-by-back-end', arrived: true };
 
-/** Dispatches one task to owners with prepared outcomes, asked in the order given. */
+/** Dispatches one task. The nth offer, to whichever owner, gets the nth outcome. */
 async function dispatch(
   outcomes: OwnerOutcome[],
   options: {
     repeatable?: boolean;
     maxAttempts?: number;
     slack?: number;
-    /** Zones of the owners, in the order of their outcomes; `near` when left out. */
+    /** Zones of the owners, in the order of their outcomes. The default is `near`. */
     zones?: string[];
     bodyBytes?: number;
   } = {},
 ) {
   let asked = 0;
   const mayWait: boolean[] = [];
-  const script = [...outcomes];
+  const remaining = [...outcomes];
   const owner: Owner = {
     run: (offered) => {
       asked += 1;
       mayWait.push(offered.mayWait);
-      return Promise.resolve(script.shift() ?? lost);
+      return Promise.resolve(remaining.shift() ?? lost);
     },
   };
   const directory = new OwnerDirectory('near', (record) => new OwnerEntry(record, owner));
@@ -55,7 +55,7 @@
   );
   const crossZoneBudget = createCrossZoneBudget();
   while (crossZoneBudget.tryWithdraw()) {
-    // A zone that is short of room has used its allowance up.
+    // Spends the whole budget, as in a zone whose owners have been busy for a while.
   }
   const retryAfterPacer = createRetryAfterPacer();
   const offerLimit = createOfferLimit();
@@ -88,15 +88,15 @@
 }
 
 describe('Dispatch', () => {
-  it('asks the next owner when one turns the task away, without spending an attempt', async () => {
-    const away = createRejection('busy', 50);
-    const found = await dispatch([away, away, away, answer(200)], { maxAttempts: 1, slack: 0 });
-    expect(found).toMatchObject({ asked: 4, status: 200 });
+  it('offers the task to the next owner after a rejection, without spending an attempt', async () => {
+    const busy = createRejection('busy', 50);
+    const result = await dispatch([busy, busy, busy, answer(200)], { maxAttempts: 1, slack: 0 });
+    expect(result).toMatchObject({ asked: 4, status: 200 });
   });
 
-  it('refuses with the expected wait when every owner is busy', async () => {
-    const found = await dispatch([createRejection('busy', 80), createRejection('busy', 120)]);
-    expect(found).toEqual({
+  it('refuses with the expected wait if every owner is busy', async () => {
+    const result = await dispatch([createRejection('busy', 80), createRejection('busy', 120)]);
+    expect(result).toEqual({
       asked: 2,
       mayWait: [true, true],
       status: 503,
@@ -105,51 +105,51 @@
     });
   });
 
-  it('sends clients back at the pace of what is served when it has asked enough full owners', async () => {
-    const away = createRejection('busy', 50);
-    const found = await dispatch(Array.from({ length: 20 }, () => away));
-    expect(found).toMatchObject({ asked: 8, status: 503, code: 'busy', retryAfterMs: 50 });
+  it('refuses with a time to retry after eight busy owners', async () => {
+    const busy = createRejection('busy', 50);
+    const result = await dispatch(Array.from({ length: 20 }, () => busy));
+    expect(result).toMatchObject({ asked: 8, status: 503, code: 'busy', retryAfterMs: 50 });
   });
 
-  it('repeats what may be repeated, once, and says 502 when that is lost too', async () => {
+  it('retries a repeatable request once, and answers 502 if the retry is lost too', async () => {
     expect(await dispatch([lost, answer(200)])).toMatchObject({ asked: 2, status: 200 });
     expect(await dispatch([lost, lost, answer(200)])).toMatchObject({ asked: 2, status: 502 });
   });
 
-  it('never sends again what may have run and may not be repeated', async () => {
-    const found = await dispatch([lost, answer(200)], { repeatable: false });
-    expect(found).toMatchObject({ asked: 1, status: 502 });
+  it('does not retry a request that may have run and is not repeatable', async () => {
+    const result = await dispatch([lost, answer(200)], { repeatable: false });
+    expect(result).toMatchObject({ asked: 1, status: 502 });
   });
 
-  it('counts a rejection by a back end as an attempt, and promises "not run" after it', async () => {
-    const found = await dispatch([rejected, rejected, answer(200)], { repeatable: false });
-    expect(found).toMatchObject({ asked: 2, status: 503 });
+  it('counts a rejection by a back end as an attempt, and answers 503 as it has not run', async () => {
+    const result = await dispatch([rejected, rejected, answer(200)], { repeatable: false });
+    expect(result).toMatchObject({ asked: 2, status: 503 });
   });
 
-  it('does not repeat without a budget', async () => {
-    const found = await dispatch([lost, answer(200)], { slack: 0 });
-    expect(found).toMatchObject({ asked: 1, status: 502 });
+  it('does not retry if the retry budget is spent', async () => {
+    const result = await dispatch([lost, answer(200)], { slack: 0 });
+    expect(result).toMatchObject({ asked: 1, status: 502 });
   });
 
   it.each([true, false])(
-    'passes a failure of the back end on at once (repeatable: %s)',
+    'passes a failure status of the back end on without a retry (repeatable: %s)',
     async (repeatable) => {
-      const found = await dispatch([answer(500), answer(200)], { repeatable });
-      expect(found).toMatchObject({ asked: 1, status: 500 });
+      const result = await dispatch([answer(500), answer(200)], { repeatable });
+      expect(result).toMatchObject({ asked: 1, status: 500 });
     },
   );
 
-  describe('when the owners of its own zone are busy', () => {
-    const away = createRejection('busy', 50);
+  describe('if the owners of its own zone are busy', () => {
+    const busy = createRejection('busy', 50);
     const zones = ['near', 'far'];
 
-    it('sends a small request to another zone', async () => {
-      expect(await dispatch([away, answer(200)], { zones })).toMatchObject({ status: 200 });
+    it('offers a small request to another zone', async () => {
+      expect(await dispatch([busy, answer(200)], { zones })).toMatchObject({ status: 200 });
     });
 
-    it('refuses a large one with the time to come back: bytes between zones are dear', async () => {
-      const found = await dispatch([away, answer(200)], { zones, bodyBytes: LARGE_BODY_BYTES });
-      expect(found).toEqual({
+    it('refuses a large request with a time to retry, as traffic between zones is costly', async () => {
+      const result = await dispatch([busy, answer(200)], { zones, bodyBytes: LARGE_BODY_BYTES });
+      expect(result).toEqual({
         asked: 1,
         mayWait: [true],
         status: 503,
@@ -159,7 +159,7 @@
     });
   });
 
-  it('queues in its own zone, and takes only free slots of another while its own is up', async () => {
+  it('waits in its own zone, and in another one only if its own has no owner', async () => {
     const zones = ['near', 'far'];
     const busy = await dispatch([createRejection('busy', 50), answer(200)], { zones });
     expect(busy.mayWait).toEqual([true, false]);
@@ -167,24 +167,24 @@
     expect(alone.mayWait).toEqual([true, true]);
   });
 
-  it('looks for room in other zones once two owners of its own have had none', async () => {
-    const away = createRejection('busy', 50);
+  it('prefers other zones once two owners of its own zone were busy', async () => {
+    const busy = createRejection('busy', 50);
     const zones = ['near', 'near', 'near', 'near', 'far', 'far'];
-    const found = await dispatch([away, away, answer(200), away, away, away], { zones });
-    expect(found.asked).toBe(3);
-    expect(found.mayWait).toEqual([true, true, false]);
+    const result = await dispatch([busy, busy, answer(200), busy, busy, busy], { zones });
+    expect(result.asked).toBe(3);
+    expect(result.mayWait).toEqual([true, true, false]);
   });
 
-  it('sends a large request to another zone when no owner of its own is up', async () => {
-    const found = await dispatch([createRejection('draining'), answer(200)], {
+  it('offers a large request to another zone if its own has no owner', async () => {
+    const result = await dispatch([createRejection('draining'), answer(200)], {
       zones: ['near', 'far'],
       bodyBytes: LARGE_BODY_BYTES,
     });
-    expect(found).toMatchObject({ asked: 2, status: 200 });
+    expect(result).toMatchObject({ asked: 2, status: 200 });
   });
 });
 
-/** A task at owners that are answered for one by one. */
+/** Dispatches a task to owners whose outcomes the test settles one by one. */
 function heldDispatch(options: { owners: number; maxAttempts?: number; slack?: number }) {
   const offered: { task: OwnerTask; settle: (outcome: OwnerOutcome) => void }[] = [];
   const owner: Owner = {
@@ -223,8 +223,8 @@
   };
 }
 
-describe('an owner that has the request and falls silent', () => {
-  it('is not given up while another one is asked: the first answer counts', async () => {
+describe('an owner that has received the request and falls silent', () => {
+  it('may still give the answer while a second owner has the request', async () => {
     const { offered, status, directory } = heldDispatch({ owners: 3 });
     offered[0]?.task.onProgress('silent');
     await vi.waitFor(() => expect(offered).toHaveLength(2));
@@ -236,7 +236,7 @@
     );
   });
 
-  it('is one offer in the log, whether it answers after all or not', async () => {
+  it('has one offer record, whether it answers later or not', async () => {
     const { offered, offers } = heldDispatch({ owners: 3 });
     offered[0]?.task.onProgress('silent');
     await vi.waitFor(() => expect(offered).toHaveLength(2));
@@ -249,7 +249,7 @@
     ]);
   });
 
-  it('is cancelled when the other one answers', async () => {
+  it('is cancelled if the second owner answers', async () => {
     const { offered, status } = heldDispatch({ owners: 2 });
     offered[0]?.task.onProgress('silent');
     await vi.waitFor(() => expect(offered).toHaveLength(2));
@@ -262,7 +262,7 @@
     ['no other owner', { owners: 1 }],
     ['no attempt left', { owners: 2, maxAttempts: 1 }],
     ['no budget left', { owners: 2, slack: 0 }],
-  ])('is waited for when there is %s', async (_reason, options) => {
+  ])('is waited for if there is %s', async (_reason, options) => {
     const { offered, status } = heldDispatch(options);
     offered[0]?.task.onProgress('silent');
     await new Promise((resolve) => setTimeout(resolve, 10));
@@ -271,7 +271,7 @@
     expect(await status).toBe(200);
   });
 
-  it('does not bring a third owner in while the second works on the request', async () => {
+  it('does not cause an offer to a third owner while the second has the request', async () => {
     const { offered, status } = heldDispatch({ owners: 3, maxAttempts: 3 });
     offered[0]?.task.onProgress('silent');
     await vi.waitFor(() => expect(offered).toHaveLength(2));
@@ -282,7 +282,7 @@
     expect(await status).toBe(200);
   });
 
-  it('ends with the deadline, as one that may have run the request', async () => {
+  it('leads to 504 at the deadline, as it may have run the request', async () => {
     const { offered, status, task } = heldDispatch({ owners: 1 });
     offered[0]?.task.onProgress('silent');
     await new Promise((resolve) => setTimeout(resolve, 10));
--- a/src/ingress/shared-retry-budget.test.ts
+++ b/src/ingress/shared-retry-budget.test.ts
@@ -5,7 +5,7 @@
 const BOUND = { ratio: 0.2, windowMs: 10_000, slack: 64 };
 
 describe('SharedRetryBudget', () => {
-  it('keeps the sum over all nodes inside the bound in every window', () => {
+  it('keeps the sum over all nodes within the bound in every window', () => {
     const step = fc.record({
       node: fc.integer({ min: 0, max: 3 }),
       gapMs: fc.integer({ min: 0, max: 200 }),
@@ -22,7 +22,7 @@
             ),
         );
         const requests: number[] = [];
-        const repeats: number[] = [];
+        const retries: number[] = [];
         let now = 0;
         for (const { node, gapMs, isRequest } of steps) {
           now += gapMs;
@@ -31,57 +31,60 @@
             budget.noteRequest('desk', now);
             requests.push(now);
           } else if (budget.withdraw('desk', now)) {
-            repeats.push(now);
+            retries.push(now);
           }
         }
-        for (const start of repeats) {
+        for (const start of retries) {
           const within = (time: number) => time >= start && time < start + BOUND.windowMs;
           const bound = BOUND.ratio * requests.filter(within).length + BOUND.slack;
-          expect(repeats.filter(within).length).toBeLessThanOrEqual(bound);
+          expect(retries.filter(within).length).toBeLessThanOrEqual(bound);
         }
       }),
       { seed: 3, numRuns: 200 },
     );
   });
 
-  it.each([2, 64, 195, 1_000])('keeps the slack inside the bound on %i nodes', (nodes) => {
-    const budgets = Array.from(
-      { length: nodes },
-      () =>
-        new SharedRetryBudget(
-          () => BOUND,
-          () => nodes,
-        ),
-    );
-    const repeats = budgets.flatMap((budget) =>
-      Array.from({ length: BOUND.slack }, () => budget.withdraw('desk', 0)).filter(Boolean),
-    );
-    expect(repeats.length).toBeLessThanOrEqual(BOUND.slack);
-  });
+  it.each([2, 64, 195, 1_000])(
+    'keeps the sum of the slack within the bound on %i nodes',
+    (nodes) => {
+      const budgets = Array.from(
+        { length: nodes },
+        () =>
+          new SharedRetryBudget(
+            () => BOUND,
+            () => nodes,
+          ),
+      );
+      const retries = budgets.flatMap((budget) =>
+        Array.from({ length: BOUND.slack }, () => budget.withdraw('desk', 0)).filter(Boolean),
+      );
+      expect(retries.length).toBeLessThanOrEqual(BOUND.slack);
+    },
+  );
 
-  it('has no slack on a node that has just started and knows no other', () => {
-    let known = Number.POSITIVE_INFINITY;
+  it('has no slack while the number of nodes is unknown', () => {
+    let nodeCount = Number.POSITIVE_INFINITY;
     const budget = new SharedRetryBudget(
       () => BOUND,
-      () => known,
+      () => nodeCount,
     );
     expect(budget.withdraw('desk', 0)).toBe(false);
-    known = 2;
+    nodeCount = 2;
     expect(budget.withdraw('desk', 0)).toBe(true);
   });
 
-  it('takes no larger part of the slack when nodes are away', () => {
-    let known = 64;
+  it('does not take a larger part of the slack while other nodes are away', () => {
+    let nodeCount = 64;
     const budget = new SharedRetryBudget(
       () => BOUND,
-      () => known,
+      () => nodeCount,
     );
     expect(budget.withdraw('desk', 0)).toBe(true);
-    known = 1;
+    nodeCount = 1;
     expect(budget.withdraw('desk', 0)).toBe(false);
   });
 
-  it('refuses when it is spent, and keeps services apart', () => {
+  it('allows no retry once it is spent, separately for each service', () => {
     const budget = new SharedRetryBudget(
       () => BOUND,
       () => 64,
@@ -91,7 +94,7 @@
     expect(budget.withdraw('vault', 0)).toBe(true);
   });
 
-  it('lets a short fault spend what the whole window has earned', () => {
+  it('can be spent at once with all that the window has earned', () => {
     const budget = new SharedRetryBudget(
       () => BOUND,
       () => 32,
@@ -103,13 +106,13 @@
     while (budget.withdraw('desk', 9_999)) {
       spent += 1;
     }
-    // Half of 0.2 x 200 requests, and one of the slack; the first part of the window may be left out.
+    // Half of 0.2 x 200 requests, and one of the slack. The first part of the window may not count.
     expect(spent).toBeGreaterThanOrEqual(19);
     expect(spent).toBeLessThanOrEqual(21);
     expect(budget.withdraw('desk', 14_000)).toBe(false);
   });
 
-  it('keeps the bound when requests come in waves, counted as the users count them', () => {
+  it('keeps the bound if requests come in waves, counted in windows up to one length earlier', () => {
     const bound = { ratio: 0.2, windowMs: 1_000, slack: 8 };
     const wave = fc.record({
       gapMs: fc.integer({ min: 0, max: 900 }),
@@ -126,7 +129,7 @@
             ),
         );
         const requests: number[] = [];
-        const repeats: number[] = [];
+        const retries: number[] = [];
         let now = 0;
         for (const { gapMs, requests: arriving, attempts } of waves) {
           now += gapMs;
@@ -136,18 +139,18 @@
           }
           for (let index = 0; index < attempts; index += 1) {
             if ((budgets[index % 4] as SharedRetryBudget).withdraw('desk', now)) {
-              repeats.push(now);
+              retries.push(now);
             }
           }
         }
         const countIn = (times: number[], from: number) =>
           times.filter((time) => time >= from && time < from + bound.windowMs).length;
-        for (const start of repeats) {
+        for (const start of retries) {
           const counted = [0, 0.5, 1].map((part) =>
             countIn(requests, start - part * bound.windowMs),
           );
           const allowed = bound.ratio * Math.max(...counted) + bound.slack;
-          expect(countIn(repeats, start)).toBeLessThanOrEqual(allowed);
+          expect(countIn(retries, start)).toBeLessThanOrEqual(allowed);
         }
       }),
       { seed: 5, numRuns: 300 },
