--- a/src/routing/configurationDependencies.ts
+++ b/src/routing/configurationDependencies.ts
@@ -1,7 +1,6 @@
 /**
- * What a checked configuration needs before requests can be decided by it: its placement policies
- * compiled and the values of its secrets at hand. All of it or none: a version that lacks anything
- * does not come into force.
+ * Resolves the dependencies of a checked configuration: its compiled placement policies and the
+ * values of its secrets. A version that lacks any of them does not come into force.
  */
 import { createHash } from 'node:crypto';
 import type { Either } from 'purify-ts';
@@ -12,22 +11,25 @@
 /** Compiles a placement policy. */
 export type PolicyCompiler = (name: string, program: string) => Either<PolicyError, CompiledPolicy>;
 
-/** What is at hand; both are fetched only for a configuration that needs them. */
+/** The available dependencies. Each is fetched only if a configuration needs it. */
 export interface AvailableDependencies {
+  /** Undefined until the compiler has been loaded. */
   readonly compilePolicy: PolicyCompiler | undefined;
   /** Values of secrets by name. */
   readonly secrets: ReadonlyMap<string, string>;
 }
 
-/** What the routes of a configuration use. */
+/** The dependencies that the routes of a configuration use, by name. */
 export interface ResolvedDependencies {
   readonly policies: ReadonlyMap<string, CompiledPolicy>;
   readonly secrets: ReadonlyMap<string, string>;
 }
 
-/** What is still missing, by name. */
+/** Dependencies that must be fetched before the configuration can be resolved. */
 export interface MissingDependencies {
+  /** True if the policy compiler is missing. */
   readonly needsPolicies: boolean;
+  /** Names of secrets without a value that has the configured digest. */
   readonly secrets: readonly string[];
 }
 
@@ -36,16 +38,16 @@
   | { readonly kind: 'short'; readonly shortage: MissingDependencies }
   | { readonly kind: 'faulty'; readonly findings: readonly Finding[] };
 
-/** Of a configuration without policies and secrets. */
+/** The dependencies of a configuration without policies and secrets. */
 export const NO_DEPENDENCIES: ResolvedDependencies = { policies: new Map(), secrets: new Map() };
 
 export function resolveDependencies(
   configuration: MeshConfiguration,
-  supplies: AvailableDependencies,
+  available: AvailableDependencies,
 ): DependencyResolution {
-  const needsPolicies = configuration.policies.length > 0 && !supplies.compilePolicy;
+  const needsPolicies = configuration.policies.length > 0 && !available.compilePolicy;
   const secrets = configuration.secrets
-    .filter(({ name, digest }) => !hasDigest(supplies.secrets.get(name), digest))
+    .filter(({ name, digest }) => !hasDigest(available.secrets.get(name), digest))
     .map(({ name }) => name);
   if (needsPolicies || secrets.length > 0) {
     return { kind: 'short', shortage: { needsPolicies, secrets } };
@@ -53,7 +55,7 @@
   const policies = new Map<string, CompiledPolicy>();
   const findings: Finding[] = [];
   configuration.policies.forEach(({ name, allow }, index) => {
-    supplies
+    available
       .compilePolicy?.(name, allow)
       .ifRight((compiled) => policies.set(name, compiled))
       .ifLeft(({ code, message }) =>
@@ -62,10 +64,10 @@
   });
   return findings.length > 0
     ? { kind: 'faulty', findings }
-    : { kind: 'complete', complements: { policies, secrets: supplies.secrets } };
+    : { kind: 'complete', complements: { policies, secrets: available.secrets } };
 }
 
-/** The digest by which a configuration names a value. */
+/** The digest by which a configuration identifies a secret's value. */
 export function secretDigest(value: string): string {
   return createHash('sha256').update(value).digest('hex');
 }
--- a/src/routing/mesh-configuration.ts
+++ b/src/routing/mesh-configuration.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration that is one whole, versioned object: routes with traffic
- * splits, services and limits. Checked whole; one finding holds off all of it.
+ * Schema and check of the configuration, one versioned object with routes, traffic splits, services
+ * and limits. It is checked as a whole: a single finding rejects all of it.
  */
 import { type Either, Left, Right } from 'purify-ts';
 import * as z from 'zod';
@@ -13,32 +13,32 @@
   name: z.string().min(1),
   host: z.string().min(1),
   pathPrefix: z.string().startsWith('/'),
-  /** `safe` may run more than once; `unsafe` and `upload` may not. */
+  /** Requests of `safe` routes may run more than once; `unsafe` and `upload` ones may not. */
   kind: z.enum(['safe', 'unsafe', 'upload']),
-  /** Milliseconds until the final answer, or none. */
+  /** Milliseconds until the final answer. Undefined if the route sets no timeout. */
   timeoutMs: z.number().positive().optional(),
-  /** Milliseconds within which an answer is worth most. */
+  /** Milliseconds within which an answer has its full value to the client. */
   targetLatencyMs: z.number().positive().optional(),
   priority: z.number().int().min(0).max(MAX_PRIORITY).default(1),
   maxAttempts: z.number().int().min(1).max(MAX_ATTEMPTS).default(1),
   split: z.array(z.object({ service: z.string().min(1), weight: z.number().min(0) })).min(1),
-  /** True if clients need no tenant's key here. */
+  /** True if requests of this route need no API key. */
   isPublic: z.boolean().default(false),
   /** Names of the placement policies that must all allow an owner. */
   policies: z.array(z.string()).default([]),
-  /** A secret that the back end gets in a header field. */
+  /** A secret that the back end receives in a header field. */
   credential: z.object({ header: z.string().min(1), secret: z.string().min(1) }).optional(),
 });
 
 const policySchema = z.object({
   name: z.string().min(1),
-  /** CEL program: true for an owner that may serve. */
+  /** CEL program that returns true if an owner may serve the request. */
   allow: z.string().min(1),
 });
 
 const secretSchema = z.object({
   name: z.string().min(1),
-  /** SHA-256 of the value, in hexadecimal digits: no node uses another value. */
+  /** SHA-256 of the value, in hexadecimal digits. Nodes use no value with another digest. */
   digest: z.string().regex(/^[0-9a-f]{64}$/, 'expected 64 hexadecimal digits'),
 });
 
@@ -55,8 +55,8 @@
   idleTimeoutMs: z.number().positive().default(60_000),
 });
 
-/** A configuration whose routes are checked one by one. */
-const frameSchema = z.object({
+/** Schema of a configuration without its routes, which are checked one by one. */
+const configurationSchema = z.object({
   version: z.number().int().positive(),
   routes: z.array(z.unknown()),
   services: z.array(serviceSchema),
@@ -79,58 +79,58 @@
   readonly services: readonly MeshService[];
   readonly policies: readonly MeshPolicy[];
   readonly secrets: readonly MeshSecret[];
-  /** With any, requests on routes that are not public need a key. */
+  /** If there are tenants, requests of routes that are not public need an API key. */
   readonly tenants: readonly MeshTenant[];
   readonly limits: MeshLimits;
 }
 
-/** Checks candidates one after the other. */
+/** Checks successive versions of the configuration. */
 export type ConfigurationCheck = (candidate: unknown) => Either<Finding[], MeshConfiguration>;
 
-/** Checks one candidate; every finding carries its place. */
+/** Checks a single candidate. Every finding has its path in the candidate. */
 export function checkMeshConfiguration(candidate: unknown): Either<Finding[], MeshConfiguration> {
   return createConfigurationCheck()(candidate);
 }
 
 /**
- * A check that remembers the routes of the last good candidate: a version usually
- * changes few of them, and an unchanged one is the same object in the next.
+ * Creates a check that caches the routes of the last valid candidate. A new version usually changes
+ * few routes, and the result for an unchanged route is the same object as before.
  */
 export function createConfigurationCheck(): ConfigurationCheck {
-  let known = new Map<string, MeshRoute>();
-  const memory = createRouteMemory();
+  let knownRoutes = new Map<string, MeshRoute>();
+  const routeTexts = createRouteTextCache();
   return (candidate) => {
-    const frame = frameSchema.safeParse(candidate);
-    if (!frame.success) {
-      return Left(findingsOf(frame.error));
+    const parsed = configurationSchema.safeParse(candidate);
+    if (!parsed.success) {
+      return Left(findingsOf(parsed.error));
     }
-    const checked = new Map<string, MeshRoute>();
+    const checkedRoutes = new Map<string, MeshRoute>();
     const findings: Finding[] = [];
     const routes: MeshRoute[] = [];
-    frame.data.routes.forEach((route, index) => {
-      const text = memory.textOf(route);
-      const good = known.get(text);
-      const result = good ? Right(good) : checkRoute(route, index);
+    parsed.data.routes.forEach((route, index) => {
+      const text = routeTexts.textOf(route);
+      const unchanged = knownRoutes.get(text);
+      const result = unchanged ? Right(unchanged) : checkRoute(route, index);
       result
-        .ifRight((right) => {
-          checked.set(text, right);
-          routes.push(right);
+        .ifRight((validRoute) => {
+          checkedRoutes.set(text, validRoute);
+          routes.push(validRoute);
         })
-        .ifLeft((bad) => findings.push(...bad));
+        .ifLeft((routeFindings) => findings.push(...routeFindings));
     });
-    const configuration = { ...frame.data, routes };
+    const configuration = { ...parsed.data, routes };
     findings.push(...tenantFindings(configuration.tenants));
     findings.push(...(findings.length > 0 ? [] : danglingReferences(configuration)));
     if (findings.length > 0) {
       return Left(findings);
     }
-    known = checked;
+    knownRoutes = checkedRoutes;
     return Right(configuration);
   };
 }
 
-/** Renders a route as text, once for each object: versions share the routes that have not changed. */
-function createRouteMemory(): { textOf(route: unknown): string } {
+/** Caches the JSON text of each route object, as versions share the objects of unchanged routes. */
+function createRouteTextCache(): { textOf(route: unknown): string } {
   const texts = new WeakMap<object, string>();
   return {
     textOf: (route) => {
@@ -147,28 +147,28 @@
   return result.success ? Right(result.data) : Left(findingsOf(result.error, ['routes', index]));
 }
 
-function findingsOf(error: z.ZodError, place: readonly (string | number)[] = []): Finding[] {
+function findingsOf(error: z.ZodError, parentPath: readonly (string | number)[] = []): Finding[] {
   return error.issues.map((issue) => ({
     code: issue.code,
-    path: [...place, ...issue.path].join('.'),
+    path: [...parentPath, ...issue.path].join('.'),
     message: issue.message,
   }));
 }
 
-/** No route may point at a service, a policy or a secret that the configuration lacks. */
+/** Findings for routes that refer to a service, policy or secret missing from the configuration. */
 function danglingReferences(configuration: MeshConfiguration): Finding[] {
   const services = namesOf(configuration.services);
   const policies = namesOf(configuration.policies);
   const secrets = namesOf(configuration.secrets);
   return configuration.routes.flatMap((route, index) => {
-    const missing = (known: ReadonlySet<string>, kind: string, name: string, field: string) =>
-      known.has(name)
+    const missing = (existing: ReadonlySet<string>, kind: string, name: string, field: string) =>
+      existing.has(name)
         ? []
         : [
             {
               code: 'dangling-reference',
               path: `routes.${index}.${field}`,
-              message: `route ${route.name} names ${kind} ${name}, which is not there`,
+              message: `route ${route.name} refers to ${kind} ${name}, which does not exist`,
             },
           ];
     const { credential } = route;
--- a/src/routing/route-matcher.ts
+++ b/src/routing/route-matcher.ts
@@ -1,4 +1,4 @@
-/** Finds the route of a request: the longest prefix of its path among the routes of its host. */
+/** Finds the route of a request: the one with the longest matching path prefix for its host. */
 import type { CompiledPolicy } from '../policy/placement-policy.js';
 import { createKeyring, type Keyring } from '../tenants/keyring.js';
 import { createTenantShares } from '../tenants/tenantShares.js';
@@ -6,40 +6,49 @@
 import type { MeshConfiguration, MeshRoute, MeshService } from './mesh-configuration.js';
 import { TrafficSplit } from './traffic-split.js';
 
-/** A route made ready for requests. */
+/** A route with its resolved dependencies. */
 export interface MatchedRoute {
   readonly route: MeshRoute;
   readonly split: TrafficSplit;
-  /** All of them must allow an owner. */
+  /** An owner may serve a request only if all of these policies allow it. */
   readonly policies: readonly CompiledPolicy[];
-  /** Set on what the back end gets. */
+  /** Header field that is added to requests for the back end. */
   readonly credential: { readonly header: string; readonly value: string } | undefined;
 }
 
-/** Immutable but for the state of the splits; a node holds one at a time. */
+/**
+ * Matches requests to the routes of one configuration. Immutable except for the state of the
+ * traffic splits. A node uses one matcher at a time.
+ */
 export class RouteMatcher {
   private readonly hosts = new Map<string, Map<string, MatchedRoute>>();
   private readonly services = new Map<string, MeshService>();
-  /** Who holds which key in this version. */
+  /** The API keys of this version and their tenants. */
   readonly keyring: Keyring;
-  /** A tenant's fair share of a full back end, from 0 to 1: its rate limit over the sum of all tenants' limits. */
+  /**
+   * A tenant's fair share of a full back end, from 0 to 1: its rate limit divided by the sum of all
+   * tenants' limits.
+   */
   readonly tenantShare: (tenant: string) => number;
 
-  /** A route that is the same object in `previous` keeps the state of its split. */
+  /** A route that is the same object as in `previous` keeps the state of its traffic split. */
   constructor(
     readonly configuration: MeshConfiguration,
     previous?: RouteMatcher,
-    complements: ResolvedDependencies = NO_DEPENDENCIES,
+    dependencies: ResolvedDependencies = NO_DEPENDENCIES,
   ) {
     for (const route of configuration.routes) {
       const host = route.host.toLowerCase();
       const prefixes = this.hosts.get(host) ?? new Map<string, MatchedRoute>();
-      const known = previous?.hosts.get(host)?.get(route.pathPrefix);
-      const isKnown = known?.route === route;
-      const split = isKnown ? known.split : new TrafficSplit(route.split);
-      const isPlain = route.policies.length === 0 && !route.credential;
-      const ready = isKnown && isPlain ? known : readyRoute(route, split, complements);
-      prefixes.set(route.pathPrefix, ready);
+      const previousRoute = previous?.hosts.get(host)?.get(route.pathPrefix);
+      const isUnchanged = previousRoute?.route === route;
+      const split = isUnchanged ? previousRoute.split : new TrafficSplit(route.split);
+      const hasNoDependencies = route.policies.length === 0 && !route.credential;
+      const matched =
+        isUnchanged && hasNoDependencies
+          ? previousRoute
+          : createMatchedRoute(route, split, dependencies);
+      prefixes.set(route.pathPrefix, matched);
       this.hosts.set(host, prefixes);
     }
     this.keyring = createKeyring(configuration.tenants);
@@ -57,7 +66,7 @@
     return this.services.get(name);
   }
 
-  /** `host` may carry a port; `target` is the request's target as it was sent. */
+  /** `host` may include a port; `target` is the request's target as sent. */
   match(host: string, target: string): MatchedRoute | undefined {
     const prefixes = this.hosts.get(hostName(host));
     if (!prefixes) {
@@ -77,7 +86,7 @@
   }
 }
 
-function readyRoute(
+function createMatchedRoute(
   route: MeshRoute,
   split: TrafficSplit,
   { policies, secrets }: ResolvedDependencies,
--- a/src/routing/routing.test.ts
+++ b/src/routing/routing.test.ts
@@ -15,13 +15,13 @@
   return { name, host, pathPrefix, kind: 'safe', split: [{ service: 'desk', weight: 1 }] };
 }
 
-function checked(routes: unknown[]): MeshConfiguration {
+function configurationWith(routes: unknown[]): MeshConfiguration {
   return checkMeshConfiguration(candidate(routes)).unsafeCoerce();
 }
 
 describe('RouteMatcher', () => {
   const matcher = new RouteMatcher(
-    checked([route('all', '/'), route('read', '/read/'), route('deep', '/read/deep/')]),
+    configurationWith([route('all', '/'), route('read', '/read/'), route('deep', '/read/deep/')]),
   );
   it.each([
     ['/read/deep/1', 'deep'],
@@ -35,14 +35,14 @@
     expect(matcher.match('a.example:8080', target)?.route.name).toBe(name);
   });
 
-  it('does not match another host, and ignores the case of the host', () => {
+  it('does not match another host, and compares hosts without regard to case', () => {
     expect(matcher.match('b.example', '/read/1')).toBeUndefined();
     expect(matcher.match('A.Example', '/read/1')?.route.name).toBe('read');
   });
 });
 
 describe('createConfigurationCheck', () => {
-  it('gives a route that has not changed as the same object, and its split goes on', () => {
+  it('returns an unchanged route as the same object, which keeps its split', () => {
     const check = createConfigurationCheck();
     const first = check(candidate([route('a', '/a/'), route('b', '/b/')])).unsafeCoerce();
     const second = check(candidate([route('a', '/a/'), route('b', '/c/')])).unsafeCoerce();
@@ -54,7 +54,7 @@
     expect(after.match('a.example', '/b/1')).toBeUndefined();
   });
 
-  it('reads a route that two versions share only once', () => {
+  it('renders a route object that versions share only once', () => {
     const check = createConfigurationCheck();
     let reads = 0;
     const shared = {
@@ -70,7 +70,7 @@
     expect(reads).toBe(1);
   });
 
-  it('names the place of a bad route among good ones, and forgets nothing good over it', () => {
+  it('reports the path of an invalid route, and keeps the valid ones of the last valid candidate', () => {
     const check = createConfigurationCheck();
     const first = check(candidate([route('a', '/a/')])).unsafeCoerce();
     const findings = check(candidate([route('a', '/a/'), route('b', 'b')]))
@@ -83,7 +83,7 @@
 });
 
 describe('checkMeshConfiguration', () => {
-  it('reports every finding with its place', () => {
+  it('reports every finding with its path', () => {
     const findings = checkMeshConfiguration({
       version: 3,
       routes: [{ ...route('a', 'no-slash'), kind: 'odd' }],
@@ -97,7 +97,7 @@
     ]);
   });
 
-  it('holds off a configuration with a route to a service that is not there', () => {
+  it('rejects a configuration with a route to a missing service', () => {
     const dangling = { ...route('a', '/a/'), split: [{ service: 'gone', weight: 1 }] };
     const findings = checkMeshConfiguration(candidate([dangling]))
       .swap()
@@ -105,7 +105,7 @@
     expect(findings).toMatchObject([{ code: 'dangling-reference', path: 'routes.0.split' }]);
   });
 
-  it('ignores fields that it does not know', () => {
+  it('ignores unknown fields', () => {
     expect(checkMeshConfiguration(candidate([{ ...route('a', '/a/'), odd: 1 }])).isRight()).toBe(
       true,
     );
@@ -113,7 +113,7 @@
 });
 
 describe('TrafficSplit', () => {
-  it('gives every part its share of any run of requests', () => {
+  it('chooses each part in proportion to its weight', () => {
     const split = new TrafficSplit(
       [
         { service: 'desk', weight: 90 },
@@ -125,7 +125,7 @@
     expect(chosen.filter((service) => service === 'vault')).toHaveLength(30);
   });
 
-  it('sends nothing to a part without weight', () => {
+  it('never chooses a part with weight 0', () => {
     const split = new TrafficSplit([
       { service: 'desk', weight: 1 },
       { service: 'vault', weight: 0 },
--- a/src/routing/traffic-split.ts
+++ b/src/routing/traffic-split.ts
@@ -1,7 +1,7 @@
 /** Divides a route's requests among services by weight (smooth weighted round robin). */
 
-/** A new split skips fewer than this many requests of its sequence. */
-const LONGEST_START = 100;
+/** A new split starts at a random place, fewer than this many requests into its sequence. */
+const MAX_SKIPPED = 100;
 
 /** One part of a split. */
 export interface SplitPart {
@@ -9,12 +9,15 @@
   readonly weight: number;
 }
 
-/** Keeps every part's share within one request of its weight, over any run of requests. */
+/**
+ * Chooses the service of each request. Over any run of requests, the number of requests of each
+ * part differs by at most one from its share by weight.
+ */
 export class TrafficSplit {
   private readonly parts: readonly SplitPart[];
-  private readonly credit: number[];
+  private readonly currentWeights: number[];
   private readonly total: number;
-  private isStarted = false;
+  private hasSkipped = false;
 
   constructor(
     parts: readonly SplitPart[],
@@ -23,38 +26,38 @@
     const weighted = parts.filter((part) => part.weight > 0);
     this.parts = weighted.length > 0 ? weighted : parts.slice(0, 1);
     this.total = this.parts.reduce((sum, part) => sum + part.weight, 0);
-    this.credit = this.parts.map(() => 0);
+    this.currentWeights = this.parts.map(() => 0);
   }
 
-  /** The service of the next request. */
+  /** Returns the service of the next request. */
   next(): string {
     if (this.parts.length === 1) {
       return (this.parts[0] as SplitPart).service;
     }
-    if (!this.isStarted) {
-      this.start();
+    if (!this.hasSkipped) {
+      this.skipToRandomPlace();
     }
-    return this.step();
+    return this.chooseNext();
   }
 
-  /** Nodes start at different places, so that the sum over all of them is even too. */
-  private start(): void {
-    this.isStarted = true;
-    const skipped = Math.floor(this.random() * LONGEST_START);
+  /** Skips part of the sequence, so that nodes differ and the sum over all of them is even too. */
+  private skipToRandomPlace(): void {
+    this.hasSkipped = true;
+    const skipped = Math.floor(this.random() * MAX_SKIPPED);
     for (let count = 0; count < skipped; count += 1) {
-      this.step();
+      this.chooseNext();
     }
   }
 
-  private step(): string {
-    let best = 0;
+  private chooseNext(): string {
+    let chosen = 0;
     this.parts.forEach((part, index) => {
-      this.credit[index] = (this.credit[index] as number) + part.weight;
-      if ((this.credit[index] as number) > (this.credit[best] as number)) {
-        best = index;
+      this.currentWeights[index] = (this.currentWeights[index] as number) + part.weight;
+      if ((this.currentWeights[index] as number) > (this.currentWeights[chosen] as number)) {
+        chosen = index;
       }
     });
-    this.credit[best] = (this.credit[best] as number) - this.total;
-    return (this.parts[best] as SplitPart).service;
+    this.currentWeights[chosen] = (this.currentWeights[chosen] as number) - this.total;
+    return (this.parts[chosen] as SplitPart).service;
   }
 }
