--- a/src/charts/stateChart.test.ts
+++ b/src/charts/stateChart.test.ts
@@ -2,9 +2,9 @@
 import { createLifecycle, LifecycleEvent, LifecycleState } from '../sidecar/lifecycle.js';
 import definition from './sidecar-lifecycle.json' with { type: 'json' };
 
-it('a sidecar goes through its stop in order, and nothing else moves it', () => {
-  const seen: LifecycleState[] = [];
-  const lifecycle = createLifecycle((state) => seen.push(state));
+it('the lifecycle passes its states in order and ignores events without a transition', () => {
+  const states: LifecycleState[] = [];
+  const lifecycle = createLifecycle((state) => states.push(state));
   lifecycle.send(LifecycleEvent.TasksEnded);
   expect(lifecycle.state).toBe(LifecycleState.Starting);
   for (const event of [
@@ -18,7 +18,7 @@
   ]) {
     lifecycle.send(event);
   }
-  expect(seen).toEqual([
+  expect(states).toEqual([
     LifecycleState.Serving,
     LifecycleState.Leaving,
     LifecycleState.RefusingTasks,
@@ -27,7 +27,7 @@
   ]);
 });
 
-it('the file names exactly the states and events that the code knows', () => {
+it('the chart file has exactly the states and events of the enums', () => {
   const { states } = definition;
   expect(Object.keys(states).sort()).toEqual(Object.values(LifecycleState).sort());
   const transitions = Object.values(states).map((state) => ('on' in state ? state.on : {}));
--- a/src/charts/stateChart.ts
+++ b/src/charts/stateChart.ts
@@ -1,9 +1,10 @@
 /**
- * Interprets a state chart that is kept in a file, in the form that XState reads, so that its tools
- * can draw it. A sidecar's chart is flat; the library itself would be loaded at every start.
+ * Interprets a state chart from a file in XState's format, which XState's tools can draw. The
+ * XState library itself is not used: it would have to be loaded at every start, and a sidecar's
+ * chart is flat, so this interpreter suffices.
  */
 
-/** A flat chart. */
+/** A chart without nested states. */
 export interface StateChartDefinition {
   readonly id: string;
   readonly initial: string;
@@ -12,14 +13,14 @@
 
 interface StateDefinition {
   readonly type?: string;
-  /** The state that each event leads to. */
+  /** The next state for each event. */
   readonly on?: Readonly<Record<string, string>>;
 }
 
 /** A running chart. */
 export interface StateChart<State extends string, Event extends string> {
   readonly state: State;
-  /** A state without a transition for the event ignores it. */
+  /** Moves to the next state. An event without a transition in the present state is ignored. */
   send(event: Event): void;
 }
 
