--- a/src/directory/rolloutController.ts
+++ b/src/directory/rolloutController.ts
@@ -37,20 +37,15 @@
 import { decisionLogFields } from './rolloutLog.js';
 import type { RolloutStatusWriter, RolloutStatusWriterContext } from './rolloutStatusWriter.js';
 
-/**
- * Interval in milliseconds at which a phase is published again: a leased one before it expires, any
- * other one to show that the leader is up.
- */
+/** Interval in milliseconds at which a leased phase is published again, before it expires. */
 const LEASE_RENEWAL_MS = 500;
+/** Interval in milliseconds for any other phase, to show that the leader is up. */
 const PHASE_RENEWAL_MS = 2_000;
 
 /** Interval in milliseconds for the same phase if the plan or the owners' versions have changed. */
 const CHANGE_RENEWAL_MS = 500;
 
-/**
- * A node that has published a phase counts as the leader for this time, in milliseconds. A leader
- * publishes its phase again sooner than that.
- */
+/** Milliseconds a node counts as leader after publishing a phase; a leader republishes sooner. */
 const LEADERSHIP_MS = 2_500;
 
 /** A plan counts as changed if a share has changed by more than this factor. */
@@ -69,7 +64,6 @@
   readonly detail: Readonly<Record<string, unknown>>;
 }
 
-/** Dependencies on the node. */
 export interface RolloutControllerContext extends OwnerNotifierContext {
   readonly rollouts: RolloutTracker;
   readonly election: RolloutElection;
@@ -85,29 +79,24 @@
 
 export interface RolloutController {
   /** Handles an owner's report, and forwards it if this node yields to another leader. */
-  receiveEvidence(evidence: EvidenceReport): void;
+  receiveEvidence(report: EvidenceReport): void;
   /** Makes a decision and applies it, if this node is the leader. */
   reconcile(rollout: RunningRollout): void;
   /** Called when `node` has published a phase of the service's roll-out. */
   noteLeader(service: string, node: string): void;
-  /** Called when another node has resigned as the leader. */
   noteResigned(service: string, node: string): void;
-  /**
-   * Called when a running order was removed. The leader publishes the owners' versions once more,
-   * since the order's version receives no requests from then on.
-   */
+  /** Leader: republishes owners' versions once, since the removed order's now gets no requests. */
   noteRemoved(order: RolloutOrder): void;
   /** Called after each attempt to write a status. */
   noteWritten: RolloutStatusWriterContext['onWritten'];
 }
 
-/** State of a running order. */
 interface OrderWork {
   readonly generation: number;
   readonly decider: RolloutDecider;
   publishedAt: number;
   /** Number of owners whose version was in the last published phase. */
-  publishedVersions: number;
+  publishedCount: number;
   /** The last published plan. */
   plan: RolloutPlan | undefined;
   reason: string;
@@ -115,9 +104,9 @@
   readonly sentLimits: SentLimits;
 }
 
-export function createRolloutController(context: RolloutControllerContext): RolloutController {
-  const { clock, rollouts, election, directory, broadcast, own, contactMs, writer } = context;
-  const notifier = createOwnerNotifier(context);
+export function createRolloutController(ctx: RolloutControllerContext): RolloutController {
+  const { clock, rollouts, election, directory, broadcast, own, contactMs, writer } = ctx;
+  const notifier = createOwnerNotifier(ctx);
   const workByService = new Map<string, OrderWork>();
   /** The last other node that has published a phase, by service. */
   const lastLeaders = new Map<string, { readonly node: string; readonly at: number }>();
@@ -134,7 +123,7 @@
       generation,
       decider: createRolloutDecider(clock, targetVersion),
       publishedAt: Number.NEGATIVE_INFINITY,
-      publishedVersions: 0,
+      publishedCount: 0,
       plan: undefined,
       reason: '',
       steppedAt: Number.NEGATIVE_INFINITY,
@@ -149,7 +138,7 @@
     const versions = work?.decider.versions ?? [];
     if (work) {
       work.publishedAt = clock.now();
-      work.publishedVersions = versions.length;
+      work.publishedCount = versions.length;
       work.plan = plan;
     }
     const message: PhaseMessage = {
@@ -162,7 +151,7 @@
       versions,
       ...(plan ? { plan } : {}),
     };
-    context.onPhase(message);
+    ctx.onPhase(message);
     broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage(message));
   };
 
@@ -176,8 +165,7 @@
 
   /**
    * The other leader that this node yields to, if any. While half of the owners report to each of
-   * two nodes, both act as the leader and would revert each other's phases, so only the first of
-   * them by rank decides.
+   * two nodes, both lead and would revert each other's phases, so only the first by rank decides.
    */
   const precedingLeader = (service: string): OwnerEntry | undefined => {
     const last = lastLeaders.get(service);
@@ -198,8 +186,7 @@
   });
 
   const renewalMs = ({ phase, plan }: RolloutStep, work: OrderWork): number => {
-    const isNew =
-      work.decider.versions.length > work.publishedVersions || isChanged(plan, work.plan);
+    const isNew = work.decider.versions.length > work.publishedCount || isChanged(plan, work.plan);
     if (isLeased(phase)) {
       return isNew ? MIN_STEP_MS : LEASE_RENEWAL_MS;
     }
@@ -230,42 +217,34 @@
     const { order, phase } = rollout;
     const work = workOf(rollout);
     const owners = ownersOf(order.service);
-    const receivesReports =
-      election.isLeader(order.service) || work.decider.hasReportQuorum(owners);
-    if (!receivesReports || precedingLeader(order.service)) {
+    const isLeading = election.isLeader(order.service) || work.decider.hasReportQuorum(owners);
+    if (!isLeading || precedingLeader(order.service)) {
       return;
     }
     if (order.state === undefined) {
       writer().write(order, RolloutState.Running);
     }
     work.steppedAt = clock.now();
-    const { bounds } = context;
+    const { bounds } = ctx;
     const step = work.decider.step(rollout, owners, { bounds: bounds(), storeMs });
     if (step.reason !== work.reason || step.phase !== phase) {
       work.reason = step.reason;
-      context.onChange({
-        service: order.service,
-        change: 'decision',
-        detail: decisionLogFields(step),
-      });
+      ctx.onChange({ service: order.service, change: 'decision', detail: decisionLogFields(step) });
     }
     applyStep(rollout, step, work);
   };
 
   return {
-    receiveEvidence: (evidence) => {
-      const rollout = rollouts.running(evidence.service);
-      const leader = precedingLeader(evidence.service);
+    receiveEvidence: (report) => {
+      const rollout = rollouts.running(report.service);
+      const leader = precedingLeader(report.service);
       if (leader) {
-        notifier.send(leader, evidence);
+        notifier.send(leader, report);
       }
-      if (rollout?.order.id === evidence.orderId) {
-        rollouts.noteAge(evidence.service, evidence.orderId, evidence.ageMs);
+      if (rollout?.order.id === report.orderId) {
+        rollouts.noteAge(report.service, report.orderId, report.ageMs);
         const work = workOf(rollout);
-        work.decider.addReport(
-          evidence,
-          rollouts.running(evidence.service)?.ageMs ?? evidence.ageMs,
-        );
+        work.decider.addReport(report, rollouts.running(report.service)?.ageMs ?? report.ageMs);
         // In the last phase the version receives all requests, so each report is evaluated at once.
         if (rollout.phase === RolloutPhase.Shift && clock.now() - work.steppedAt >= MIN_STEP_MS) {
           reconcile(rollout);
@@ -294,7 +273,7 @@
     noteWritten: (order, state, result, tookMs) => {
       const { service, targetVersion } = order;
       storeMs = result === 'ok' ? tookMs : storeMs;
-      context.onChange({ service, change: 'status', detail: { targetVersion, state, result } });
+      ctx.onChange({ service, change: 'status', detail: { targetVersion, state, result } });
       if (result === 'throttled' || result === 'unavailable') {
         resign(service);
       } else if (result === 'ok' && hasEnded({ ...order, state })) {
@@ -305,7 +284,6 @@
   };
 }
 
-/** True if the plan differs enough from the published one to be published. */
 function isChanged(plan: RolloutPlan, published: RolloutPlan | undefined): boolean {
   if (!published || [...plan.owners].sort().join(' ') !== [...published.owners].sort().join(' ')) {
     return true;
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -29,22 +29,13 @@
 import { waitForSlot } from './slotWait.js';
 import { type TaskTimes, taskRecordOf } from './taskRecord.js';
 
-/**
- * Time, in milliseconds, for which tasks that may not be repeated don't reuse connections after an
- * answer to another request.
- */
+/** Milliseconds in which unrepeatable tasks reuse no connection after another request's answer. */
 const NO_REUSE_MS = 10_000;
 
-/**
- * A task that is cancelled within this time, in milliseconds, before its deadline counts as one
- * that was waited for until its deadline.
- */
+/** A task cancelled this close to its deadline, in milliseconds, counts as awaited until then. */
 const DEADLINE_SLACK_MS = 50;
 
-/**
- * Retry delay, in milliseconds, for a task that is rejected because a roll-out allows the back end
- * no new requests: other owners can serve the task at once.
- */
+/** Retry delay in milliseconds if a roll-out grants no permit; other owners can serve at once. */
 const NO_PERMIT_RETRY_MS = 20;
 
 /** A node has one. */
--- a/src/relay/storeCache.ts
+++ b/src/relay/storeCache.ts
@@ -1,7 +1,6 @@
 /**
- * Caches the objects of the store that this node has read, so that other nodes of its zone can read
- * them here. For each object only the last change is kept: a node that asks from an earlier
- * revision needs the present state, not every step on the way.
+ * Caches objects read from the store for other nodes of the zone. Only the last change of each is
+ * kept: a node that asks from an earlier revision needs the present state, not every step.
  */
 import type { Clock } from '../model/clock.js';
 import { createWaiters, type Waiters } from '../model/waiters.js';
@@ -19,19 +18,14 @@
 import type { StoreReachability } from './storeReachability.js';
 
 /**
- * Earlier versions of objects that are kept for each kind: a follower that holds one of them is
- * sent only the difference. At five versions a second they reach back six seconds. They share the
- * parts that are equal, so a version of 1,600 routes adds about 15 KB.
+ * Earlier versions kept for each kind: a follower that holds one is sent only the difference. At 5
+ * a second they reach back 6 s. They share equal parts: one of 1,600 routes adds about 15 KB.
  */
 const MAX_EARLIER_VERSIONS = 32;
 
-/**
- * Removed objects that are kept for each kind. A node that asks from a revision before the oldest
- * of them has to list the kind again.
- */
+/** Removed objects kept for each kind; a read from before the oldest has to list the kind again. */
 const MAX_REMOVED = 1_024;
 
-/** Dependencies of the cache on the rest of the node. */
 export interface StoreCacheContext {
   readonly clock: Clock;
   readonly reach: Pick<StoreReachability, 'answeredAt'>;
@@ -56,15 +50,13 @@
   /** Caches changes and returns them, sharing their structure with the cached objects. */
   noteChanges<Spec>(kind: string, from: number, changes: StoreChanges<Spec>): StoreChanges<Spec>;
   /**
-   * Caches the present version of an object that is the only one of its kind, and returns it,
-   * sharing its structure with the cached version. If the kind has several objects, nothing is
-   * cached, since the others may have changed as well.
+   * Caches the present version of the only object of a kind, and returns it with shared structure.
+   * If the kind has several objects, nothing is cached, since the others may have changed as well.
    */
   noteObject<Spec>(kind: string, object: StoredObject<Spec>): StoredObject<Spec>;
   /**
-   * Marks the cached objects of a kind as possibly outdated, because the store no longer has the
-   * changes since then or because a list from it was older than the cache. The cache does not
-   * answer for the kind until the next list or change that it accepts.
+   * Marks a kind as possibly outdated: the store lacks the changes since then, or its list was
+   * older. The cache does not answer for the kind until it accepts another list or change.
    */
   markStale(kind: string): void;
   /** Newest revision up to which the cache has all changes of a kind. */
@@ -93,10 +85,7 @@
   revision: number;
   removedCount: number;
   isStale: boolean;
-  /**
-   * False while the only source is a list that may lag. Such a list may even be from before the
-   * store was restored from a copy.
-   */
+  /** False while the only source is a list that may lag, even from before a restore from a copy. */
   isConfirmed: boolean;
   /** Reads that wait for the next change. */
   readonly waiters: Waiters;
@@ -133,7 +122,7 @@
       const cached = kinds.get(kind);
       const isStrong = consistency === ReadConsistency.Strong;
       if (!cached || (isStrong && !cached.isConfirmed && listing.revision < cached.revision)) {
-        kinds.set(kind, cachedKindOf(listing, isStrong));
+        kinds.set(kind, createKind(listing, isStrong));
         cached?.waiters.wakeAll();
         return listing;
       }
@@ -221,10 +210,7 @@
 
 const NOT_CURRENT = failed('unavailable');
 
-function cachedKindOf(
-  { items, revision }: StoreListing<unknown>,
-  isConfirmed: boolean,
-): CachedKind {
+function createKind({ items, revision }: StoreListing<unknown>, isConfirmed: boolean): CachedKind {
   const changes = new Map(
     items.map((object) => [
       object.name,
--- a/src/rollout/rolloutTracker.ts
+++ b/src/rollout/rolloutTracker.ts
@@ -7,15 +7,10 @@
 import type { RolloutPlan } from './rolloutPlan.js';
 import type { RolloutView } from './versionRules.js';
 
-/**
- * Milliseconds after which a phase with a larger share ends on its own unless the leader announces
- * it again.
- */
+/** Milliseconds until a phase with a larger share ends unless the leader announces it again. */
 export const PHASE_LEASE_MS = 1_600;
 
-/**
- * Lifetime of a plan of the watch in milliseconds; it is announced more than twice in that time.
- */
+/** Milliseconds for which a plan of the watch is valid; it is announced over twice in that time. */
 const PLAN_LIFETIME_MS = 5_000;
 
 /**
@@ -27,9 +22,7 @@
 /** Dependencies on the node. */
 export interface RolloutTrackerContext {
   readonly clock: Clock;
-  /**
-   * Milliseconds without information from store or leader after which the version gets no requests.
-   */
+  /** Milliseconds without data from store or leader after which the version gets no requests. */
   readonly staleMs: () => number;
 }
 
@@ -70,9 +63,7 @@
   applyRestoredOrder(order: RolloutOrder): boolean;
   /** Removes the order of a service. */
   remove(service: string): void;
-  /**
-   * Applies a phase announced by a leader, this node included; returns true if the phase changed.
-   */
+  /** Applies a phase announced by a leader, this node included; true if the phase changed. */
   applyPhase(update: PhaseUpdate): boolean;
   /** Records the age of an order by another node's information; the greatest age counts. */
   noteAge(service: string, orderId: string, ageMs: number): void;
--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -1,7 +1,4 @@
-/**
- * Keeps the configuration in force up to date: from the store or, if the store
- * does not answer this node, from another node.
- */
+/** Updates the configuration in force: from the store or, if it does not answer, another node. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { Clock } from '../model/clock.js';
 import type { Finding } from '../model/finding.js';
@@ -23,16 +20,14 @@
 const WAIT_MS = 12_000;
 
 /**
- * Share of the apply deadline for which a node waits for its own watch after
- * another node has announced a newer version. It is longer than a working watch
- * takes to return the version, so that no list is sent in addition.
+ * Share of the apply deadline for which a node waits for its own watch after another node has
+ * announced a newer version. A working watch returns it sooner, so no list is sent in addition.
  */
 const WATCH_GRACE_SHARE = 0.5;
 
 /**
- * Share of the apply deadline for which the node then waits for a list from the store before it
- * asks the other node. Both waits together are 0.7 of the deadline, so that a node that the store
- * does not answer still receives the version in time.
+ * Share of the apply deadline for which the node then waits for a list before it asks the other
+ * node. Both waits total 0.7 of the deadline: without the store, the version still arrives in time.
  */
 const REFRESH_SHARE = 0.2;
 
@@ -49,9 +44,7 @@
  */
 const CURRENT_SHARE = 0.8;
 
-/**
- * Share of the apply deadline by which the state in a reader's answer may be older than the answer.
- */
+/** Share of the apply deadline by which the state in a reader's answer may be older than it. */
 const READER_SHARE = 0.5;
 
 /** The version that another node holds. */
@@ -77,10 +70,7 @@
   readonly decodeBytes: (bytes: Buffer) => ConfigurationCandidate | undefined;
   /** Requests the configuration of another node. Undefined if the node does not return one. */
   readonly fetchFromPeer: (address: string) => Promise<Buffer | undefined>;
-  /**
-   * Requests the versions that some other nodes hold, and waits for their answers for a short time.
-   * Undefined if there are no other nodes.
-   */
+  /** Requests some other nodes' versions, with a short timeout. Undefined without other nodes. */
   readonly fetchPeerVersions?: () => Promise<readonly PeerVersion[]>;
   /** Steady time of the last proof that the store is within reach, in milliseconds. */
   readonly storeReachableAt: () => number;
@@ -102,12 +92,9 @@
   private fetchingVersion = 0;
   /** Newest version that any node has announced. */
   private newestAnnouncedVersion = 0;
-  /**
-   * Steady time at which the version in force was last confirmed as the newest, in milliseconds.
-   */
+  /** Steady time in milliseconds at which the version in force was last confirmed as newest. */
   private confirmedAt = Number.NEGATIVE_INFINITY;
   private isStopped = false;
-
   /** Newest version that lacked policies or secrets. */
   private newestIncompleteVersion = 0;
 
@@ -153,9 +140,8 @@
   }
 
   /**
-   * True if a newer version may exist that is not yet in force here: another node has announced
-   * one, or the version in force has not been confirmed for a while. A route that is missing from
-   * the version in force may then exist in the newer one.
+   * True if a newer version may exist, with routes that the one in force lacks: another node has
+   * announced one, or the version in force has not been confirmed for a while.
    */
   get mayBeStale(): boolean {
     return (
@@ -196,10 +182,7 @@
     this.watcher.stop();
   }
 
-  /**
-   * Another node has announced that it holds this version. If the version is newer, the follower
-   * asks the store first, and that node soon afterwards.
-   */
+  /** For a newer announced version, asks the store first and the announcing node soon after. */
   noteVersion(address: string, version: number): void {
     this.newestAnnouncedVersion = Math.max(this.newestAnnouncedVersion, version);
     if (version > this.version && version > this.fetchingVersion) {
@@ -245,9 +228,8 @@
   }
 
   /**
-   * A store that has been restored from a copy may list an older version than was acknowledged. A
-   * node that has restarted holds no version and would apply the older one, so it asks other nodes
-   * first.
+   * A store restored from a copy may list an older version than was acknowledged. A restarted node
+   * holds no version and would apply the older one, so it asks other nodes first.
    */
   private async applyListed(candidate: ConfigurationCandidate): Promise<void> {
     if (!this.routes && (await this.applyNewerFromPeer(candidate.version))) {
@@ -258,10 +240,7 @@
     }
   }
 
-  /**
-   * Returns true if another node holds a newer version and that version is in force, or will be
-   * once its policies and secrets are loaded.
-   */
+  /** True if another node's newer version is in force, or will be with its policies and secrets. */
   private async applyNewerFromPeer(version: number): Promise<boolean> {
     const peerVersions = (await this.options.fetchPeerVersions?.()) ?? [];
     const [newest] = peerVersions.toSorted((left, right) => right.version - left.version);
@@ -293,10 +272,7 @@
     }
   }
 
-  /**
-   * Loads the policies and secrets that a version lacks and applies it again, until it is in force,
-   * rejected or replaced by a newer one.
-   */
+  /** Loads missing policies and secrets and reapplies until in force, rejected or outdated. */
   private async loadAndApply(candidate: ConfigurationCandidate, origin: string): Promise<void> {
     const { dependencyLoader } = this.options;
     let hasLoaded = false;
