--- a/src/sidecar/auxiliaryHandlers.ts
+++ b/src/sidecar/auxiliaryHandlers.ts
@@ -1,4 +1,4 @@
-/** What a sidecar answers to the small calls from outside: metrics, readiness, registrations. */
+/** Handlers of a sidecar's auxiliary listeners: metrics, readiness and registrations. */
 
 import type { SidecarGauges, SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
 import { type NoteUnreadable, UnreadableEntryKind } from '../diagnostics/unreadableLog.js';
@@ -13,7 +13,7 @@
 
 const JSON_TYPE = 'application/json';
 
-/** `gauges` reads the values of the moment, `totals` bytes since the start. */
+/** `gauges` returns current values; `totals` holds bytes since the start. */
 export function createMetricsHandler(
   metrics: SidecarMetrics,
   gauges: () => SidecarGauges,
@@ -33,13 +33,13 @@
 ): AuxiliaryHandler {
   return ({ method, path }) => {
     const ready = isReady();
-    const isKnown = platform.isReadinessCall(method, path);
-    const status = isKnown ? (ready ? 200 : 503) : 404;
+    const isReadinessCall = platform.isReadinessCall(method, path);
+    const status = isReadinessCall ? (ready ? 200 : 503) : 404;
     return { status, contentType: JSON_TYPE, body: `{"ready":${ready}}` };
   };
 }
 
-/** Calls of the back end beside the node; what they tell is in force before they are answered. */
+/** Handles calls of the local back end. A registration takes effect before its response is sent. */
 export function createRegistrationHandler(
   platform: PlatformAdapter,
   owner: Pick<LocalOwner, 'heartbeat' | 'deregister'>,
@@ -53,17 +53,17 @@
           const { instance, service } = registration.beat;
           noteUnreadable(UnreadableEntryKind.Heartbeat, instance, `no service is named ${service}`);
         }
-        return answerOf(200);
+        return emptyResponse(200);
       case 'deregister':
         owner.deregister(registration.life);
-        return answerOf(200);
+        return emptyResponse(200);
       default:
         noteUnreadable(UnreadableEntryKind.Heartbeat, path, registration.reason);
-        return answerOf(400);
+        return emptyResponse(400);
     }
   };
 }
 
-function answerOf(status: number): AuxiliaryResponse {
+function emptyResponse(status: number): AuxiliaryResponse {
   return { status, contentType: JSON_TYPE, body: '{}' };
 }
--- a/src/sidecar/auxiliaryServer.ts
+++ b/src/sidecar/auxiliaryServer.ts
@@ -1,31 +1,29 @@
-/** A listener for calls with small bodies: registrations, readiness, metrics. */
+/** HTTP server for calls with small bodies: registrations, readiness, metrics. */
 import http from 'node:http';
 import { collectBody } from '../owner/message-body.js';
 import { listenOn } from '../peer/listenOn.js';
 
-/** Largest body of a call, in bytes. */
+/** Largest body of a call, in bytes. The connection of a larger one is closed. */
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** A call as it came, read whole. */
+/** A call whose body has been read completely. */
 export interface AuxiliaryRequest {
   readonly method: string;
   readonly path: string;
   readonly body: Buffer;
 }
 
-/** Answer to a small call. */
 export interface AuxiliaryResponse {
   readonly status: number;
   readonly contentType: string;
   readonly body: string;
 }
 
-/** Handles calls whose bodies are small. */
 export type AuxiliaryHandler = (
   call: AuxiliaryRequest,
 ) => AuxiliaryResponse | Promise<AuxiliaryResponse>;
 
-/** Serves small calls; a handler that fails answers 500. */
+/** Responds with status 500 if the handler fails. */
 export class AuxiliaryServer {
   private readonly server: http.Server;
 
@@ -51,15 +49,18 @@
       response.destroy();
       return;
     }
-    const answer = await this.answerTo(request, body.bytes);
-    response.writeHead(answer.status, {
-      'content-type': answer.contentType,
-      'content-length': Buffer.byteLength(answer.body),
+    const result = await this.runHandler(request, body.bytes);
+    response.writeHead(result.status, {
+      'content-type': result.contentType,
+      'content-length': Buffer.byteLength(result.body),
     });
-    response.end(answer.body);
+    response.end(result.body);
   }
 
-  private async answerTo(request: http.IncomingMessage, body: Buffer): Promise<AuxiliaryResponse> {
+  private async runHandler(
+    request: http.IncomingMessage,
+    body: Buffer,
+  ): Promise<AuxiliaryResponse> {
     try {
       return await this.handler({
         method: request.method ?? 'GET',
@@ -68,7 +69,7 @@
       });
     } catch (error) {
       this.onError(request.url ?? '/', error);
-      return { status: 500, contentType: 'text/plain', body: 'failed\n' };
+      return { status: 500, contentType: 'text/plain', body: 'internal error\n' };
     }
   }
 }
--- a/src/sidecar/decisionRecords.ts
+++ b/src/sidecar/decisionRecords.ts
@@ -1,4 +1,4 @@
-/** Finished requests and tasks as lines of the decision log and as metrics. */
+/** Writes the outcomes of requests, tasks, crashes and roll-outs to the log and the metrics. */
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
 import type { RolloutChange } from '../directory/rolloutController.js';
@@ -9,16 +9,19 @@
 import type { BackEndIncarnation } from '../registry/backEndIncarnation.js';
 import type { TenantUsageCounter } from '../tenants/tenantUsage.js';
 
-/** Statuses from here on are failures, of the back end or of this node. */
+/** Lowest HTTP status that is an error, of the back end or of this node. */
 const FIRST_ERROR_STATUS = 400;
 
-/** Where records go. */
+/** Destinations of the records. */
 export interface RecordSinks {
   readonly log: DecisionLog;
   readonly metrics: SidecarMetrics;
 }
 
-/** A client has its final answer, or has left; one that was answered at its first offer has no line. */
+/**
+ * Records a request whose client has received its final answer or has left. A request that
+ * succeeded with its first offer is not logged.
+ */
 export function recordRequest(
   { log, metrics, tenantUse }: RecordSinks & { readonly tenantUse: TenantUsageCounter },
   record: RequestRecord,
@@ -27,11 +30,11 @@
   if (record.tenant !== undefined) {
     tenantUse.note(record.tenant, record.code === 'over-quota');
   }
-  const { status, offers, durationMs, allowedMs, ...rest } = record;
-  const isPlain = status > 0 && status < FIRST_ERROR_STATUS && offers.length < 2;
-  if (!isPlain) {
+  const { status, offers, durationMs, allowedMs, ...otherFields } = record;
+  const isRoutine = status > 0 && status < FIRST_ERROR_STATUS && offers.length < 2;
+  if (!isRoutine) {
     log.decision('request', {
-      ...rest,
+      ...otherFields,
       status,
       offers,
       durationMs: Math.round(durationMs),
@@ -40,7 +43,7 @@
   }
 }
 
-/** A task has left this owner; one that found an answer has no line. */
+/** Records a task that has left this owner. A task that the back end answered is not logged. */
 export function recordTask(
   { log, metrics }: RecordSinks,
   record: TaskRecord,
@@ -58,7 +61,10 @@
   }
 }
 
-/** The back end here has crashed; the lines of the tasks that it lost have the same fingerprints. */
+/**
+ * Records a crash of the local back end. The log lines of the tasks that were lost with it hold the
+ * same fingerprints.
+ */
 export function recordCrash(
   { log, metrics }: RecordSinks,
   { instance, bornAt }: BackEndIncarnation,
@@ -73,18 +79,18 @@
   });
 }
 
-/** The back end here does not seem to answer a task. */
+/** Records an overdue run: the local back end does not seem to answer it. */
 export function recordOverdue({ log, metrics }: RecordSinks, run: OverdueRun): void {
   metrics.runOverdue(run.route);
-  const { usualMs, waitedMs, ...rest } = run;
+  const { usualMs, waitedMs, ...otherFields } = run;
   log.decision('overdue', {
-    ...rest,
+    ...otherFields,
     usualMs: Math.round(usualMs),
     waitedMs: Math.round(waitedMs),
   });
 }
 
-/** An order, phase, decision or status of a roll-out. */
+/** Records an order, phase, decision or status of a roll-out. */
 export function recordRollout(
   { log, metrics }: RecordSinks,
   { service, change, detail }: RolloutChange,
--- a/src/sidecar/gracefulShutdown.ts
+++ b/src/sidecar/gracefulShutdown.ts
@@ -1,62 +1,63 @@
 /**
- * The order of a planned stop: out of rotation first, then no new tasks for the
- * back end, then no new requests of clients, then everything in flight.
+ * Order of a planned stop. The node first reports that it isn't ready and asks clients to connect
+ * elsewhere. It then rejects new tasks, stops accepting client requests, and waits until nothing is
+ * in flight.
  */
 import type { IngressServer } from '../ingress/ingress-server.js';
 import type { Clock } from '../model/clock.js';
 import type { LocalOwner } from '../owner/local-owner.js';
 import { type Lifecycle, LifecycleEvent } from './lifecycle.js';
 
-/** Share of the grace after which the back end gets no new tasks. */
-const TASKS_SHARE = 0.3;
+/** Share of the grace after which the back end receives no new tasks. */
+const ADMITTING_SHARE = 0.3;
 
-/** Share of the grace in which clients learn to go elsewhere. */
+/** Share of the grace during which requests are accepted so that clients can connect elsewhere. */
 const NOTICE_SHARE = 0.42;
 
-/** Share of the grace after which nothing more is taken from clients. */
+/** Share of the grace after which no client requests are accepted, even if tasks still run. */
 const ACCEPTING_SHARE = 0.48;
 
-/** Pause between two looks at what is in flight, in milliseconds. */
-const TICK_MS = 50;
+/** Interval between two checks of what is in flight, in milliseconds. */
+const POLL_INTERVAL_MS = 50;
 
 /**
- * Share of the grace that is left for the very end: a process with a quarter of a core, which has
- * used up its part of a tenth of a second, needs some hundred milliseconds for a few steps.
+ * Share of the grace that is reserved for closing down. A process that is limited to a quarter of a
+ * core, and has used its CPU time for the current tenth of a second, needs some hundred
+ * milliseconds for a few steps.
  */
-const MARGIN_SHARE = 0.06;
+const CLOSING_SHARE = 0.06;
 
 /**
- * What is taken from clients later than so many milliseconds after the stop began must end before
- * the grace does (users' rules, LOST: "sent no later than 3 s after the SIGTERM").
+ * A request that arrives later than this many milliseconds after the start of the stop must end
+ * before the grace does (users' rules, LOST: "sent no later than 3 s after the SIGTERM").
  */
-const PROMISED_AFTER_MS = 3_000;
+const GUARANTEED_AFTER_MS = 3_000;
 
-/** What is stopped. */
 export interface ShutdownContext {
   readonly clock: Clock;
   readonly ingress: IngressServer;
   readonly owner: LocalOwner;
-  /** Milliseconds until the process is killed. */
+  /** Milliseconds from the start of the stop until the process is killed. */
   readonly graceMs: number;
   readonly lifecycle: Lifecycle;
 }
 
-/** Resolves when nothing is in flight, or just before the end of the grace. */
-export async function shutDownGracefully(parts: ShutdownContext): Promise<void> {
-  const { clock, ingress, owner, graceMs, lifecycle } = parts;
+/** Resolves when nothing is in flight, or shortly before the end of the grace. */
+export async function shutDownGracefully(context: ShutdownContext): Promise<void> {
+  const { clock, ingress, owner, graceMs, lifecycle } = context;
   const startedAt = clock.now();
   const waitUntil = async (condition: () => boolean, atMs: number) => {
     while (!condition() && clock.now() < startedAt + atMs) {
-      await new Promise((resolve) => setTimeout(resolve, TICK_MS));
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   };
-  const endsAt = startedAt + graceMs * (1 - MARGIN_SHARE);
-  ingress.beginShutdown({ guaranteedFrom: startedAt + PROMISED_AFTER_MS, endsAt });
-  await waitUntil(() => false, graceMs * TASKS_SHARE);
+  const endsAt = startedAt + graceMs * (1 - CLOSING_SHARE);
+  ingress.beginShutdown({ guaranteedFrom: startedAt + GUARANTEED_AFTER_MS, endsAt });
+  await waitUntil(() => false, graceMs * ADMITTING_SHARE);
   lifecycle.send(LifecycleEvent.NoticeGiven);
   owner.stopAdmitting();
   await waitUntil(() => false, graceMs * NOTICE_SHARE);
-  // What the back end still runs may call other services through this node.
+  // A task that still runs on the back end may call other services through this node.
   await waitUntil(() => owner.report.inFlight === 0, graceMs * ACCEPTING_SHARE);
   lifecycle.send(LifecycleEvent.TasksEnded);
   ingress.stopAccepting();
--- a/src/sidecar/lifecycle.ts
+++ b/src/sidecar/lifecycle.ts
@@ -1,4 +1,4 @@
-/** The life of a sidecar, as its chart has it. */
+/** Lifecycle states and events of a sidecar; the state chart defines the transitions. */
 
 import definition from '../charts/sidecar-lifecycle.json' with { type: 'json' };
 import { createStateChart, type StateChart } from '../charts/stateChart.js';
@@ -6,11 +6,11 @@
 export enum LifecycleState {
   Starting = 'starting',
   Serving = 'serving',
-  /** Not ready any more; answers tell clients to go elsewhere. */
+  /** No longer ready. Responses ask clients to connect elsewhere. */
   Leaving = 'leaving',
-  /** The back end gets no new tasks. */
+  /** The back end receives no new tasks. */
   RefusingTasks = 'refusingTasks',
-  /** Nothing new is taken from clients; what runs goes on. */
+  /** Client requests are no longer accepted. Those in flight continue. */
   RefusingClients = 'refusingClients',
   Stopped = 'stopped',
 }
@@ -26,7 +26,7 @@
 
 export type Lifecycle = StateChart<LifecycleState, LifecycleEvent>;
 
-/** `onState` is called on entry to each state after the first. */
+/** Calls `onState` on entry to each state except the first. */
 export function createLifecycle(onState: (state: LifecycleState) => void): Lifecycle {
   return createStateChart(definition, onState);
 }
--- a/src/sidecar/ownerEntries.ts
+++ b/src/sidecar/ownerEntries.ts
@@ -1,4 +1,4 @@
-/** How this node reaches each owner: the one beside it in the same process, any other over the network. */
+/** Directory entries of owners: the local one is called in process, all others over the network. */
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import { OwnerEntry, type OwnerRecord } from '../directory/owner-entry.js';
 import type { Clock } from '../model/clock.js';
@@ -9,7 +9,7 @@
 import { RemoteOwner } from '../peer/remoteOwner.js';
 import type { SidecarSettings } from './sidecar-settings.js';
 
-/** What the entries need of their node. */
+/** Dependencies on the node. */
 export interface OwnerEntriesContext {
   readonly settings: () => SidecarSettings;
   readonly clock: Clock;
@@ -18,42 +18,42 @@
   readonly sender: () => PeerSender;
   readonly report: () => PeerReport;
   readonly onSent: SentObserver;
-  readonly onReply: (tookMs: number) => void;
-  /** A node at this address has told the version of its configuration. */
+  readonly onReply: (durationMs: number) => void;
+  /** Called with the address of a node and the configuration version that it has reported. */
   readonly onVersion: (address: string, version: number) => void;
 }
 
-/** Makes the entry of an owner for the directory. */
+/** Returns a function that creates the directory entry of an owner. */
 export function createOwnerEntries(
   context: OwnerEntriesContext,
-): (known: OwnerRecord) => OwnerEntry {
+): (record: OwnerRecord) => OwnerEntry {
   const { settings, clock, log, owner, sender, report, onSent, onReply, onVersion } = context;
-  return (known) => {
-    if (known.node === settings().node) {
-      return new OwnerEntry(known, owner, report);
+  return (record) => {
+    if (record.node === settings().node) {
+      return new OwnerEntry(record, owner, report);
     }
-    const remote = new RemoteOwner(known.address, {
+    const remote = new RemoteOwner(record.address, {
       clock,
       sender,
-      connectionOptions: { onSent, window: sendWindowOf(settings().linkMbps, known.linkMbps) },
+      connectionOptions: { onSent, window: sendWindowOf(settings().linkMbps, record.linkMbps) },
       onReply,
-      onReport: (told) => {
-        entry.noteReport(told, clock.now());
-        onVersion(known.address, told.version);
+      onReport: (peerReport) => {
+        entry.noteReport(peerReport, clock.now());
+        onVersion(record.address, peerReport.version);
       },
       onFailure: (cause) => {
         if (!entry.absenceReason) {
-          log.event('owner', { owner: known.node, change: 'absent', detail: cause });
+          log.event('owner', { owner: record.node, change: 'absent', detail: cause });
         }
         entry.markAbsent('silent', clock.now());
       },
     });
-    const entry = new OwnerEntry(known, remote);
+    const entry = new OwnerEntry(record, remote);
     return entry;
   };
 }
 
-/** This node's own record, as the other nodes get it. */
+/** This node's own record, as published to the other nodes. */
 export function ownRecordOf(settings: SidecarSettings): OwnerRecord {
   const { node, zone, service, listen, linkMbps, region, labels } = settings;
   return {
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -1,4 +1,7 @@
-/** Quotas of tenants: the parts that are held here, those that others hold, and the gate before requests. */
+/**
+ * Tenants' quotas on this node: grants from the quota parts that it holds, requests to the holders
+ * of other parts, and the gate that admits requests.
+ */
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import { createQuotaMembers } from '../directory/quotaMembers.js';
 import type { Clock } from '../model/clock.js';
@@ -9,30 +12,33 @@
 import { createQuotaPool, type QuotaGrant } from '../tenants/quotaPool.js';
 import type { SidecarSettings } from './sidecar-settings.js';
 
-/** Pause between two looks for nodes that have come or gone, in milliseconds. */
+/** Interval between two checks for nodes that have joined or left, in milliseconds. */
 const REFRESH_MS = 500;
 
-/** What is needed of the node. */
+/** Dependencies on the node. */
 export interface QuotaPartContext {
   readonly settings: () => SidecarSettings;
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
   readonly reads: PooledPeerClient;
   readonly routes: () => RouteMatcher | undefined;
-  /** True once the other nodes are known: a node that knew itself alone would hold whole limits. */
+  /**
+   * True once the directory holds the other nodes. With a directory of only itself, a node would
+   * hold whole limits.
+   */
   readonly isDirectorySynced: () => boolean;
 }
 
 export interface QuotaPart {
-  /** Undefined without bounds: then no tenant is limited. */
+  /** Undefined if the settings have no quota bounds; no tenant is limited then. */
   readonly gate: QuotaGate | undefined;
-  /** True while the configuration holds tenants whose limits this node keeps. */
+  /** True while quotas are enabled and the configuration has tenants. */
   readonly isUsed: boolean;
-  /** Answers another node; undefined where no part is held. */
+  /** Grants requests to another node. Undefined if this node does not hold a part of the quota. */
   grant(tenant: string, wanted: number): QuotaGrant | undefined;
-  /** Another node has left for good, by its own word. */
+  /** Called when another node has announced that it leaves for good. */
   noteLeft(node: string): void;
-  /** A configuration has come into force. */
+  /** Called when a configuration has come into force. */
   refresh(): void;
   start(): void;
   stop(): void;
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -1,4 +1,7 @@
-/** A sidecar's parts for roll-outs: none where the settings or the deployment know of none. */
+/**
+ * Creates the components of a sidecar that carry out roll-outs, unless the settings or the platform
+ * have no roll-outs.
+ */
 import type { AnnouncementBroadcast } from '../directory/announcementBroadcast.js';
 import type { OwnerDirectory } from '../directory/owner-directory.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
@@ -11,7 +14,6 @@
 import { recordRollout } from './decisionRecords.js';
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
 
-/** What they need besides. */
 export interface RolloutPartsContext extends SidecarPartsContext {
   readonly relay: ZoneRelay;
   readonly directory: OwnerDirectory;
@@ -19,12 +21,12 @@
   readonly caller: PeerClient;
   readonly owner: LocalOwner;
   readonly record: () => OwnerRecord;
-  /** Nodes that share the slack; infinite while they are not known. */
+  /** Number of nodes that share the slack; infinite until the directory has been read. */
   readonly nodes: () => number;
   readonly onConnected: (connected: boolean, detail: string, cause?: string) => void;
 }
 
-/** Where the settings have lost their bounds: a version gets nothing by an order. */
+/** Used if reloaded settings have no bounds any more: an order gives a version no requests. */
 const NO_EXPOSURE: ExposureBounds = { exposureShare: 0, exposureSlack: 0 };
 
 export interface RolloutParts {
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -1,4 +1,4 @@
-/** The life of a node beside one back end: its start, its state, its reload and its end. */
+/** A node beside one back end: start, status, reload of settings, and stop. */
 
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarGauges, SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
@@ -19,23 +19,26 @@
 import type { SidecarSettings } from './sidecar-settings.js';
 import { createSidecarParts, type SidecarParts } from './sidecarParts.js';
 
-/** The configuration is read this long after the directory at the latest, in milliseconds. */
+/**
+ * Longest time in milliseconds that the first read of the configuration waits for the directory. A
+ * node that has read the directory can ask its zone's reader for the configuration.
+ */
 const DIRECTORY_HEAD_START_MS = 300;
 
-/** Pause between two looks whether the directory is there, in milliseconds. */
-const HEAD_START_TICK_MS = 10;
+/** Interval between two checks whether the directory has been read, in milliseconds. */
+const HEAD_START_POLL_MS = 10;
 
-/** While stopping: longest time for removing the own record, in milliseconds. */
+/** Longest time for removing the node's own record during a stop, in milliseconds. */
 const REMOVE_TIMEOUT_MS = 100;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What a node believes at one moment. */
+/** State of a node at one moment. */
 export interface SidecarStatus {
   readonly version: number;
   readonly backEndReady: boolean;
   readonly owner: OwnerReport;
-  /** Requests of clients without a final answer. */
+  /** Client requests without a final answer. */
   readonly inFlight: number;
   readonly ownersPresent: number;
   readonly ownersAbsent: number;
@@ -50,7 +53,7 @@
   private readonly metricsServer: AuxiliaryServer;
   private readonly lifecycle: Lifecycle;
   private readonly clock: Clock;
-  /** Steady time in milliseconds since which the configuration is in force. */
+  /** Steady time in milliseconds at which the configuration came into force. */
   private inForceSince = 0;
 
   constructor(
@@ -61,7 +64,7 @@
     metrics: SidecarMetrics,
   ) {
     this.clock = clocks.clock;
-    clocks.onResume((sleptMs) => log.event('woken', { sleptMs: Math.round(sleptMs) }));
+    clocks.onResume((suspendedMs) => log.event('woken', { sleptMs: Math.round(suspendedMs) }));
     this.parts = createSidecarParts({
       settings: () => this.settings,
       platform,
@@ -89,7 +92,7 @@
     );
   }
 
-  /** What the node believes now, for metrics and tests. */
+  /** Current state, for metrics and tests. */
   get status(): SidecarStatus {
     const { directory, configuration, owner, ingress } = this.parts;
     const owners = directory.all();
@@ -104,12 +107,12 @@
     };
   }
 
-  /** Addresses in use. */
+  /** Addresses in use, with the ports that the kernel chose. */
   get addresses(): SidecarSettings['listen'] {
     return this.settings.listen;
   }
 
-  /** Opens every port and begins to follow the store. */
+  /** Opens all ports and starts watching the store. */
   async start(): Promise<void> {
     const { owner, directory, sync, quarantines, ingress, peers: peerServer, record } = this.parts;
     const { listen } = this.settings;
@@ -143,14 +146,14 @@
     });
   }
 
-  /** Takes settings that have changed while the node runs; addresses stay. */
+  /** Applies settings that have changed while the node runs, except addresses to listen at. */
   reload(settings: SidecarSettings): void {
     this.settings = { ...settings, listen: this.settings.listen };
     this.log.event('reloaded', { service: settings.service });
     void this.parts.sync.publish();
   }
 
-  /** Planned stop; see `shutDownGracefully`. */
+  /** Planned stop; see {@link shutDownGracefully}. */
   async stop(): Promise<void> {
     this.lifecycle.send(LifecycleEvent.Stop);
     const { clock, lifecycle, log } = this;
@@ -166,7 +169,7 @@
     this.close();
   }
 
-  /** Closes everything at once. */
+  /** Closes everything immediately. */
   close(): void {
     const { owner, directory, sync, configuration, ingress, peers, reads, relay, usageReporter } =
       this.parts;
@@ -190,7 +193,7 @@
     this.platform.store.close();
   }
 
-  /** A node that knows its zone can ask its reader: the directory's first list goes first. */
+  /** Starts reading the configuration; see {@link DIRECTORY_HEAD_START_MS}. */
   private startConfiguration(): void {
     const { sync, configuration } = this.parts;
     const startedAt = this.clock.now();
@@ -201,7 +204,7 @@
         clearInterval(timer);
         configuration.start();
       }
-    }, HEAD_START_TICK_MS);
+    }, HEAD_START_POLL_MS);
   }
 
   private onApplied(routes: RouteMatcher, origin: string): void {
@@ -217,7 +220,7 @@
   private gauges(): SidecarGauges {
     const { version, owner, inFlight, ownersPresent, ownersAbsent, storeConnected } = this.status;
     const { rollouts } = this.parts;
-    const rolledOut = rollouts?.versionSelector.totals;
+    const rolloutTotals = rollouts?.versionSelector.totals;
     return {
       requests_in_flight: inFlight,
       owner_running: owner.inFlight,
@@ -231,9 +234,9 @@
       owners_absent: ownersAbsent,
       quarantined_requests: this.parts.crashTracker.quarantined(this.clock.now()).length,
       rollouts_running: rollouts?.sync.rollouts.runningServices.length ?? 0,
-      rollout_requests: rolledOut?.requests ?? 0,
-      rollout_offers: rolledOut?.offers ?? 0,
-      rollout_bad_answers: rolledOut?.bad ?? 0,
+      rollout_requests: rolloutTotals?.requests ?? 0,
+      rollout_offers: rolloutTotals?.offers ?? 0,
+      rollout_bad_answers: rolloutTotals?.bad ?? 0,
       configuration_version: version,
       configuration_age_seconds: (this.clock.now() - this.inForceSince) / MILLISECONDS_PER_SECOND,
       store_connected: Number(storeConnected),
@@ -249,7 +252,7 @@
   }
 }
 
-/** Listens at an address and resolves with the one in use: port 0 lets the kernel choose. */
+/** Listens at an address and resolves with the one in use; for port 0 the kernel chooses a port. */
 async function listenAt(
   server: { listen(host: string, port: number): Promise<number> },
   address: string,
--- a/src/sidecar/sidecar-process.ts
+++ b/src/sidecar/sidecar-process.ts
@@ -1,4 +1,4 @@
-/** The life of a sidecar process: settings, signals, start and stop. */
+/** A sidecar process: settings, signals, start and stop. */
 import { statSync } from 'node:fs';
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
@@ -7,19 +7,19 @@
 import { SidecarNode } from './sidecar-node.js';
 import { checkSidecarSettings, type SidecarSettings } from './sidecar-settings.js';
 
-/** The settings file is looked at this often, in milliseconds: it may change without a signal. */
+/** Interval of checks of the settings file, in milliseconds; it may change without a signal. */
 const SETTINGS_INTERVAL_MS = 2_000;
 
-/** Exit code for settings that cannot be used. */
+/** Exit code for invalid settings. */
 const EXIT_SETTINGS = 2;
 
-/** What a process is made of. */
+/** Components of a process. */
 export interface SidecarProcess {
   readonly clocks: NodeClocks;
   readonly log: DecisionLog;
   readonly metrics: SidecarMetrics;
   readonly settingsFile: string;
-  /** Reads the settings file into the product's settings, unchecked; may throw. */
+  /** Reads the settings file and translates it into a sidecar's settings, unchecked; may throw. */
   readonly readSettings: () => Promise<unknown>;
   readonly platform: PlatformAdapter;
 }
@@ -61,7 +61,7 @@
   }
 }
 
-/** Settings that cannot be used are reported; the ones in force stay. */
+/** Reloads the settings. Invalid ones are logged, and those in force stay. */
 async function reload(parts: SidecarProcess, node: SidecarNode): Promise<void> {
   const settings = await load(parts);
   if (settings) {
@@ -70,11 +70,11 @@
 }
 
 function watchSettings(parts: SidecarProcess, node: SidecarNode): void {
-  let known = modifiedAt(parts.settingsFile);
+  let lastModifiedAt = modifiedAt(parts.settingsFile);
   const timer = setInterval(() => {
-    const found = modifiedAt(parts.settingsFile);
-    if (found !== known) {
-      known = found;
+    const currentModifiedAt = modifiedAt(parts.settingsFile);
+    if (currentModifiedAt !== lastModifiedAt) {
+      lastModifiedAt = currentModifiedAt;
       void reload(parts, node);
     }
   }, SETTINGS_INTERVAL_MS);
--- a/src/sidecar/sidecar-settings.ts
+++ b/src/sidecar/sidecar-settings.ts
@@ -12,7 +12,10 @@
   /** Region and labels of this machine, for placement policies. */
   region: z.string().min(1).optional(),
   labels: z.record(z.string(), z.string()).optional(),
-  /** Megabits a second that the machine's link carries: readers of a zone are those with most. */
+  /**
+   * Capacity of the machine's link in megabits per second. The nodes with the fastest links become
+   * the readers of their zone.
+   */
   linkMbps: z.number().positive().optional(),
   /** Service of the back end on this machine. */
   service: z.string().min(1),
@@ -22,10 +25,10 @@
     peers: address,
     readiness: address,
     registrations: address,
-    /** Metrics, or none. */
+    /** Undefined if no metrics are served. */
     metrics: address.optional(),
   }),
-  /** Longest time, in milliseconds, between an acknowledged drain and the last new work. */
+  /** Longest time, in milliseconds, from an acknowledged drain to the last new task. */
   drainMs: z.number().positive().default(2_000),
   /** Longest time, in milliseconds, from a version's acknowledgement until it is in force. */
   configurationApplyMs: z.number().positive().default(2_000),
@@ -38,38 +41,41 @@
       slack: z.number().min(0).default(64),
     })
     .prefault({}),
-  /** Longest time, in milliseconds, after trouble in which nodes need not know of one another. */
+  /** Longest time, in milliseconds, for which nodes may be unaware of one another after a fault. */
   contactMs: z.number().positive().default(3_000),
-  /** What the store's trouble, short of an outage, may add to the bounds of changes, in milliseconds. */
+  /** Milliseconds that a store fault, short of an outage, may add to the time bounds of changes. */
   maxSkewMs: z.number().min(0).default(5_000),
-  /** Bounds of tenants' quotas; without them no tenant is limited. */
+  /** Bounds of tenants' quotas. If undefined, no tenant is limited. */
   quota: z
     .object({
-      /** Every span of this length counts, in milliseconds. */
+      /** A limit holds for every time span of this length, in milliseconds. */
       windowMs: z.number().positive(),
-      /** Share by which the sum over all nodes may exceed a limit. */
+      /** Share of a limit by which the sum of requests over all nodes may exceed it. */
       overage: z.number().min(0),
-      /** Requests by which it may, besides. */
+      /** Number of requests by which the sum may exceed a limit in addition to `overage`. */
       slack: z.number().min(0),
     })
     .optional(),
-  /** How keys that are taken away end. */
+  /** Bounds on the revocation of API keys. */
   revocation: z
     .object({
-      /** True if a node that may not know of it must refuse rather than serve with a key that may be gone. */
+      /**
+       * True if a node whose configuration may be too old to include a revocation must refuse
+       * requests, instead of serving them with a key that may be revoked.
+       */
       isStrict: z.boolean(),
-      /** Milliseconds until a key that was taken away is refused. */
+      /** Milliseconds until requests with a revoked key are refused. */
       withinMs: z.number().positive(),
     })
     .optional(),
-  /** Bounds of roll-outs; without them no order is followed. */
+  /** Bounds of roll-outs. If undefined, orders for roll-outs are ignored. */
   rollout: z
     .object({
-      /** Largest share of a service's requests that a version may get before it has proved itself. */
+      /** Largest share of a service's requests that a version may get before it is found good. */
       exposureShare: z.number().min(0).max(1),
-      /** Requests that it may get besides. */
+      /** Number of requests that a version may get in addition to `exposureShare`. */
       exposureSlack: z.number().min(0),
-      /** Milliseconds after its 50th bad answer within which a bad version must get nothing more. */
+      /** Milliseconds from a bad version's 50th bad answer until it must get no more requests. */
       rollbackMs: z.number().positive(),
     })
     .optional(),
@@ -77,7 +83,7 @@
 
 export type SidecarSettings = z.infer<typeof settingsSchema>;
 
-/** Checks settings; every finding carries its place. Unknown fields are ignored. */
+/** Validates settings. Each finding holds the path of its field. Unknown fields are ignored. */
 export function checkSidecarSettings(candidate: unknown): Either<Finding[], SidecarSettings> {
   const result = settingsSchema.safeParse(candidate);
   return result.success
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -1,3 +1,4 @@
+/** Creates the components of a sidecar and connects them. */
 import {
   createUnreadableLog,
   type NoteUnreadable,
@@ -34,16 +35,20 @@
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
 import { createConfigurationPart, createRelayPart } from './storeParts.js';
 
-/** The directory's watch: its longest wait, and what comes within so long is taken together. */
+/** Longest time that one call of a directory or quarantine watch waits, in milliseconds. */
 const DIRECTORY_WAIT_MS = 15_000;
-const DIRECTORY_SETTLE_MS = 500;
+/**
+ * Directory changes within this time, in milliseconds, are read together. It applies only while
+ * the node does not follow a zone's reader.
+ */
+const DIRECTORY_DEBOUNCE_MS = 500;
 
 export interface SidecarParts {
   readonly owner: LocalOwner;
   readonly directory: OwnerDirectory;
   readonly sync: DirectorySync;
   readonly quarantines: QuarantineSync;
-  /** Undefined where no roll-outs are followed. */
+  /** Undefined if the settings or the platform have no roll-outs. */
   readonly rollouts: RolloutParts | undefined;
   readonly crashTracker: CrashTracker;
   readonly configuration: ConfigurationFollower;
@@ -54,7 +59,7 @@
   readonly usageReporter: UsageReporter;
   readonly noteUnreadable: NoteUnreadable;
   readonly quotas: QuotaPart;
-  /** This node's own record, as the other nodes get it. */
+  /** This node's own record, as published to the other nodes. */
   readonly record: () => OwnerRecord;
 }
 
@@ -84,7 +89,7 @@
     version: configuration.version,
   });
   const report = (): PeerReport => ({ ...owner.report, version: configuration.version });
-  const onStore = (use: string) => (connected: boolean, detail: string, cause?: string) =>
+  const onStoreConnection = (use: string) => (connected: boolean, detail: string, cause?: string) =>
     log.event('store', { use, connected, detail, cause, version: configuration.version });
 
   const crashTracker = createCrashTracker();
@@ -93,8 +98,9 @@
     freshnessClock,
     timers,
     ledger: crashTracker,
-    onCrash: (life, news) => recordCrash({ log, metrics }, life, news),
-    onCrashAnnouncement: (news) => quarantines.publish(news),
+    onCrash: (incarnation, announcement) =>
+      recordCrash({ log, metrics }, incarnation, announcement),
+    onCrashAnnouncement: (announcement) => quarantines.publish(announcement),
     names,
     service: () => settings().service,
     backEndAddress: () => settings().backEndAddress,
@@ -112,7 +118,7 @@
     onOverdue: (run) => recordOverdue({ log, metrics }, run),
   });
 
-  const entryOf = createOwnerEntries({
+  const createEntry = createOwnerEntries({
     settings,
     clock,
     log,
@@ -120,10 +126,10 @@
     sender,
     report,
     onSent,
-    onReply: (tookMs) => usageReporter.noteReply(tookMs),
+    onReply: (durationMs) => usageReporter.noteReply(durationMs),
     onVersion: (address, version) => configuration.noteVersion(address, version),
   });
-  const directory = new OwnerDirectory(zone, entryOf, Math.random, settings().linkMbps);
+  const directory = new OwnerDirectory(zone, createEntry, Math.random, settings().linkMbps);
   directory.put(record());
 
   const reads = createPooledPeerClient(sender, onSent);
@@ -141,12 +147,12 @@
     marksDeparture: () => quotas.isUsed,
     timing: {
       waitMs: DIRECTORY_WAIT_MS,
-      debounceMs: () => (relay.store.isFollowing ? 0 : DIRECTORY_SETTLE_MS),
+      debounceMs: () => (relay.store.isFollowing ? 0 : DIRECTORY_DEBOUNCE_MS),
     },
-    onConnected: onStore('directory'),
+    onConnected: onStoreConnection('directory'),
     onOwnerChange: (name, change, detail) => log.event('owner', { owner: name, change, detail }),
     onLeft: (name) => quotas.noteLeft(name),
-    onReport: (address, told) => configuration.noteVersion(address, told.version),
+    onReport: (address, peerReport) => configuration.noteVersion(address, peerReport.version),
     onUnreadable: (name) => noteUnreadable(UnreadableEntryKind.OwnerRecord, name, 'not readable'),
   });
 
@@ -158,7 +164,7 @@
     broadcast,
     own: record,
     timing: { waitMs: DIRECTORY_WAIT_MS, debounceMs: () => 0 },
-    onConnected: onStore('quarantines'),
+    onConnected: onStoreConnection('quarantines'),
     onQuarantineChange: ({ fingerprint, caller: from }, change, origin, crashes) =>
       log.event('quarantine', { fingerprint, caller: from, change, origin, crashes }),
     onUnreadable: (name, origin) =>
@@ -175,7 +181,7 @@
     owner,
     record,
     nodes,
-    onConnected: onStore('rollouts'),
+    onConnected: onStoreConnection('rollouts'),
   });
 
   const configuration = createConfigurationPart({
@@ -183,7 +189,7 @@
     relay,
     directory,
     caller,
-    onConnected: onStore('configuration'),
+    onConnected: onStoreConnection('configuration'),
   });
 
   const quotas = createQuotaPart({
@@ -228,12 +234,12 @@
     configuration: () => configuration.bytes(),
     directory: () => sync.bytes(),
     tenantUse: tenantUse.serialize,
-    readStore: (question) => relay.answer(question),
+    readStore: (query) => relay.answer(query),
     grantQuota: quotas.grant,
     onAnnouncement: broadcast.receive,
-    onPeerContact: (from, told) => {
-      sync.notePeer(from, told);
-      configuration.noteVersion(from.address, from.version);
+    onPeerContact: (peer, peerReport) => {
+      sync.notePeer(peer, peerReport);
+      configuration.noteVersion(peer.address, peer.version);
     },
   });
 
--- a/src/sidecar/sidecarPartsContext.ts
+++ b/src/sidecar/sidecarPartsContext.ts
@@ -1,4 +1,4 @@
-/** What the parts of a sidecar are given by their node. */
+/** Dependencies that a node passes to the components of its sidecar. */
 import type { DecisionLog } from '../diagnostics/decision-log.js';
 import type { SidecarMetrics } from '../diagnostics/sidecar-metrics.js';
 import type { NodeClocks } from '../model/nodeClocks.js';
@@ -6,14 +6,13 @@
 import type { PlatformAdapter } from './platformAdapter.js';
 import type { SidecarSettings } from './sidecar-settings.js';
 
-/** What the parts are given. */
 export interface SidecarPartsContext {
-  /** In force now: they may be reloaded. */
+  /** Returns the settings in force; they may be reloaded. */
   readonly settings: () => SidecarSettings;
   readonly platform: PlatformAdapter;
   readonly clocks: NodeClocks;
   readonly log: DecisionLog;
   readonly metrics: SidecarMetrics;
-  /** A configuration has come into force. */
+  /** Called when a configuration has come into force. */
   readonly onApplied: (routes: RouteMatcher, origin: string) => void;
 }
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -1,4 +1,4 @@
-/** What a sidecar reads of the store: by way of its zone's readers, and the configuration. */
+/** Creates the components that read the store: the zone relay and the configuration follower. */
 import type { UsageReporter } from '../diagnostics/usageReporter.js';
 import { NODE_KIND } from '../directory/directory-sync.js';
 import type { OwnerDirectory } from '../directory/owner-directory.js';
@@ -13,17 +13,18 @@
 import type { SidecarPartsContext } from './sidecarPartsContext.js';
 import { createZoneAssignment } from './zoneAssignment.js';
 
-/** A configuration is asked of another node for at the most this long, in milliseconds. */
+/** Timeout of a request for another node's configuration, in milliseconds. */
 const PEER_CONFIGURATION_TIMEOUT_MS = 1_000;
 
 /**
- * A node that starts asks so many others which version they hold, for at the most so long, in milliseconds: one
- * that is up answers within a few. Of four one at the least is up nine times in ten while half of all start.
+ * Number of other nodes that a starting node asks for their configuration version. While half of
+ * all nodes are starting, at least one of four is up in nine out of ten cases.
  */
-const ASKED_AT_START = 4;
-const VERSION_PATIENCE_MS = 150;
+const PEERS_ASKED_AT_START = 4;
+
+/** Timeout of a request for a node's version, in milliseconds. A node that is up takes a few. */
+const VERSION_TIMEOUT_MS = 150;
 
-/** What the relay needs besides. */
 export interface RelayPartContext extends SidecarPartsContext {
   readonly usageReporter: UsageReporter;
   readonly directory: OwnerDirectory;
@@ -45,7 +46,7 @@
     configurationKind: platform.configurationKind,
     applyMs: settings().configurationApplyMs,
     zoneAssignment: createZoneAssignment({ clock: clocks.clock, directory, own: record }),
-    readPeer: (address, question, timeoutMs) => reads.read(address, question, timeoutMs),
+    readPeer: (address, query, timeoutMs) => reads.read(address, query, timeoutMs),
     onReaderChange: (reader, cause) => log.event('zone-reader', { reader, cause }),
     onReachabilityChange: (isReached, detail) => log.event('store-reach', { isReached, detail }),
     onEraChange: (era, before) => log.event('store-era', { era, before }),
@@ -56,7 +57,6 @@
   });
 }
 
-/** What the configuration needs besides. */
 export interface ConfigurationPartContext extends SidecarPartsContext {
   readonly relay: ZoneRelay;
   readonly directory: OwnerDirectory;
@@ -71,14 +71,14 @@
     const { node } = settings();
     const others = directory.all().filter(({ isLocal }) => !isLocal);
     const byName = new Map(others.map(({ record }) => [record.node, record.address]));
-    // Ranked by the own name: nodes that start together ask different ones.
-    const asked = rankNames(node, [...byName.keys()]).slice(0, ASKED_AT_START);
-    const held = asked.map(async (name): Promise<PeerVersion> => {
+    // The ranking depends on this node's name, so nodes that start together ask different nodes.
+    const peersToAsk = rankNames(node, [...byName.keys()]).slice(0, PEERS_ASKED_AT_START);
+    const versions = peersToAsk.map(async (name): Promise<PeerVersion> => {
       const address = byName.get(name) ?? '';
-      const report = await caller.status(address, VERSION_PATIENCE_MS);
+      const report = await caller.status(address, VERSION_TIMEOUT_MS);
       return { address, version: report?.version ?? 0 };
     });
-    return Promise.all(held);
+    return Promise.all(versions);
   };
   return new ConfigurationFollower({
     clock: clocks.freshnessClock,
@@ -96,8 +96,8 @@
     onApplied,
     onRejected: (version, origin, findings) =>
       log.event('configuration-held-off', { version, origin, findings }),
-    onDependenciesMissing: (version, shortage) =>
-      log.event('configuration-waits', { version, ...shortage }),
+    onDependenciesMissing: (version, missing) =>
+      log.event('configuration-waits', { version, ...missing }),
     onUnreadable: (revision) => log.event('configuration-unreadable', { revision }),
     dependencyLoader: createDependencyLoader({
       store: relay.store,
