--- a/src/diagnostics/decision-log.test.ts
+++ b/src/diagnostics/decision-log.test.ts
@@ -1,7 +1,11 @@
+/**
+ * Guards against a log that blocks the node or grows without bound while its reader is stalled, and
+ * against lines about requests that cost too many writes or crowd out events.
+ */
 import { describe, expect, it } from 'vitest';
 import { DecisionLog } from './decision-log.js';
 
-/** A reader that takes nothing until it is released. */
+/** A reader that reads nothing until it is released. */
 function stalledReader() {
   const lines: Record<string, unknown>[] = [];
   let release: (() => void) | undefined;
@@ -24,7 +28,7 @@
 }
 
 describe('DecisionLog', () => {
-  it('neither waits for a stalled reader nor grows, and counts what it drops', () => {
+  it('drops and counts lines beyond its buffer while the reader is stalled', () => {
     const { sink, lines, releaseAll } = stalledReader();
     const log = new DecisionLog('node-1', () => 0, sink);
     const text = 'x'.repeat(1_000);
@@ -39,9 +43,9 @@
     expect(lines.at(-1)).toMatchObject({ event: 'after', droppedLines: log.dropped });
   });
 
-  it('writes lines about requests together, and an event with what waits at once', () => {
+  it('batches lines about requests, and writes them immediately if an event follows', () => {
     const writes: number[] = [];
-    const later: (() => void)[] = [];
+    const deferred: (() => void)[] = [];
     const log = new DecisionLog(
       'node-1',
       () => 0,
@@ -49,19 +53,19 @@
         writes.push(bytes.toString().trim().split('\n').length);
         done();
       },
-      (callback) => later.push(callback),
+      (callback) => deferred.push(callback),
     );
     log.decision('request', {});
     log.decision('request', {});
     expect(writes).toEqual([]);
-    later.pop()?.();
+    deferred.pop()?.();
     expect(writes).toEqual([2]);
     log.decision('request', {});
     log.event('stopped');
     expect(writes).toEqual([2, 2]);
   });
 
-  it('bounds lines about requests by rate, but not events', () => {
+  it('limits the rate of lines about requests, but not of events', () => {
     let now = 0;
     const lines: string[] = [];
     const log = new DecisionLog(
--- a/src/diagnostics/decision-log.ts
+++ b/src/diagnostics/decision-log.ts
@@ -1,52 +1,52 @@
 /**
- * Structured log: one JSON object a line on standard output. Writing never
- * blocks the node: lines wait in a bounded buffer, and what does not fit is
- * counted and reported with the next line that does.
+ * Structured log: one JSON object per line on standard output. Writing never blocks the node: lines
+ * wait in a bounded buffer. Lines that do not fit are dropped, and the next line that fits reports
+ * their number.
  */
 import { write } from 'node:fs';
 
-/** Values of a log line. */
+/** Fields of a log line. */
 export type LogFields = Readonly<Record<string, unknown>>;
 
-/** Writes bytes somewhere and calls back. */
+/** Writes bytes and calls `done` when the write has ended. */
 export type LogSink = (bytes: Buffer, done: () => void) => void;
 
-/** Calls back a little later. */
+/** Calls the callback after a delay that the implementation chooses. */
 export type Defer = (callback: () => void) => void;
 
 /**
- * Lines about requests of this many milliseconds are written together: each write wakes a thread
- * of the runtime, which costs more than the line.
+ * Lines about requests within this many milliseconds are written together. Each write wakes a
+ * thread of the runtime, which costs more than the line.
  */
-const GATHER_MS = 50;
+const BATCH_MS = 50;
 
-/** Gathers lines for a while. */
+/** Delays the write so that further lines are written together with the first. */
 export const batchLines: Defer = (callback) => {
-  setTimeout(callback, GATHER_MS);
+  setTimeout(callback, BATCH_MS);
 };
 
-/** Bytes that may wait for a slow reader. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Largest number of bytes that wait for a slow reader. */
+const MAX_PENDING_BYTES = 256 * 1024;
 
-/** Lines that may be written in one second. */
+/** Largest number of lines about requests that are written in one second. */
 const MAX_LINES_PER_SECOND = 50;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Writes to a file descriptor without waiting for its reader. */
+/** Returns a sink that writes to a file descriptor without waiting for its reader. */
 export function descriptorSink(descriptor: number): LogSink {
   return (bytes, done) => write(descriptor, bytes, () => done());
 }
 
-/** Owned by the node. */
+/** One per node. */
 export class DecisionLog {
-  private waiting: Buffer[] = [];
-  private waitingBytes = 0;
+  private pendingLines: Buffer[] = [];
+  private pendingBytes = 0;
   private isWriting = false;
-  private isGathering = false;
-  private secondStart = 0;
+  private isFlushDeferred = false;
+  private secondStartedAt = 0;
   private linesThisSecond = 0;
-  private droppedSince = 0;
+  private unreportedDrops = 0;
   /** Lines dropped since the start. */
   dropped = 0;
 
@@ -54,21 +54,21 @@
     private readonly node: string,
     private readonly now: () => number,
     private readonly sink: LogSink,
-    /** How lines about requests are gathered; at once when left out. */
-    private readonly gather: Defer = (callback) => callback(),
+    /** Delays the write of lines about requests. The default writes them immediately. */
+    private readonly deferFlush: Defer = (callback) => callback(),
   ) {}
 
-  /** Writes a line that must not be lost to sampling: start, stop, dependencies. */
+  /** Writes a line that the rate limit does not apply to, such as start, stop or a lost store. */
   event(event: string, fields: LogFields = {}): void {
-    this.put(event, fields);
+    this.enqueue(event, fields);
     this.flush();
   }
 
-  /** Writes a line about a request; bounded by rate. */
+  /** Writes a line about a request. Drops it if the rate limit is reached. */
   decision(event: string, fields: LogFields): void {
     const now = this.now();
-    if (now - this.secondStart >= MILLISECONDS_PER_SECOND) {
-      this.secondStart = now;
+    if (now - this.secondStartedAt >= MILLISECONDS_PER_SECOND) {
+      this.secondStartedAt = now;
       this.linesThisSecond = 0;
     }
     if (this.linesThisSecond >= MAX_LINES_PER_SECOND) {
@@ -76,47 +76,47 @@
       return;
     }
     this.linesThisSecond += 1;
-    this.put(event, fields);
-    if (!this.isGathering) {
-      this.isGathering = true;
-      this.gather(() => {
-        this.isGathering = false;
+    this.enqueue(event, fields);
+    if (!this.isFlushDeferred) {
+      this.isFlushDeferred = true;
+      this.deferFlush(() => {
+        this.isFlushDeferred = false;
         this.flush();
       });
     }
   }
 
-  private put(event: string, fields: LogFields): void {
-    const dropped = this.droppedSince > 0 ? { droppedLines: this.droppedSince } : {};
+  private enqueue(event: string, fields: LogFields): void {
+    const droppedField = this.unreportedDrops > 0 ? { droppedLines: this.unreportedDrops } : {};
     const at = Math.round(this.now());
     const line = Buffer.from(
-      `${JSON.stringify({ at, node: this.node, event, ...fields, ...dropped })}\n`,
+      `${JSON.stringify({ at, node: this.node, event, ...fields, ...droppedField })}\n`,
     );
-    if (this.waitingBytes + line.length > MAX_WAITING_BYTES) {
+    if (this.pendingBytes + line.length > MAX_PENDING_BYTES) {
       this.drop();
       return;
     }
-    this.droppedSince = 0;
-    this.waiting.push(line);
-    this.waitingBytes += line.length;
+    this.unreportedDrops = 0;
+    this.pendingLines.push(line);
+    this.pendingBytes += line.length;
   }
 
   private drop(): void {
     this.dropped += 1;
-    this.droppedSince += 1;
+    this.unreportedDrops += 1;
   }
 
   private flush(): void {
-    if (this.isWriting || this.waiting.length === 0) {
+    if (this.isWriting || this.pendingLines.length === 0) {
       return;
     }
     this.isWriting = true;
-    const bytes = Buffer.concat(this.waiting);
-    this.waiting = [];
-    this.waitingBytes = bytes.length;
+    const bytes = Buffer.concat(this.pendingLines);
+    this.pendingLines = [];
+    this.pendingBytes = bytes.length;
     this.sink(bytes, () => {
       this.isWriting = false;
-      this.waitingBytes = this.waiting.reduce((sum, line) => sum + line.length, 0);
+      this.pendingBytes = this.pendingLines.reduce((sum, line) => sum + line.length, 0);
       this.flush();
     });
   }
--- a/src/diagnostics/sidecar-metrics.test.ts
+++ b/src/diagnostics/sidecar-metrics.test.ts
@@ -1,8 +1,9 @@
+/** Guards against a number of time series that grows with the number of tenants. */
 import { expect, it } from 'vitest';
 import type { RequestRecord } from '../ingress/requestRecord.js';
 import { type SidecarGauges, SidecarMetrics } from './sidecar-metrics.js';
 
-it('counts the ten tenants with the highest limits by name, and all others together', async () => {
+it('counts ten tenants with the highest limits by name, and the others under one label', async () => {
   const metrics = new SidecarMetrics();
   const tenants = Array.from({ length: 77 }, (_, index) => ({
     name: `t${index}`,
@@ -23,7 +24,7 @@
   );
 });
 
-it('tells what has become of roll-outs', async () => {
+it('counts changes of roll-outs by kind and by the phase or state they led to', async () => {
   const metrics = new SidecarMetrics();
   metrics.rolloutChanged('decision', 'Ramp');
   metrics.rolloutChanged('status', 'completed');
--- a/src/diagnostics/sidecar-metrics.ts
+++ b/src/diagnostics/sidecar-metrics.ts
@@ -8,13 +8,13 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Tenants that are counted by name: each makes a series for every code. */
+/** Number of tenants that are counted by name; each adds one time series per code. */
 const NAMED_TENANTS = 10;
 
-/** Label of all others. */
+/** Label value of all other tenants. */
 const OTHER_TENANTS = 'other';
 
-/** Values read at the moment of a scrape; the name of each is the metric's. */
+/** Values read at a scrape. Each field name is the name of a metric. */
 export interface SidecarGauges {
   readonly requests_in_flight: number;
   readonly owner_running: number;
@@ -28,7 +28,10 @@
   readonly owners_absent: number;
   readonly quarantined_requests: number;
   readonly rollouts_running: number;
-  /** Of the services with an order, since it began here: requests, offers to the version, its bad answers. */
+  /**
+   * Sums over the services that have an order, since this node began to follow it: requests, offers
+   * to the version, and bad answers of the version.
+   */
   readonly rollout_requests: number;
   readonly rollout_offers: number;
   readonly rollout_bad_answers: number;
@@ -39,22 +42,22 @@
   readonly log_lines_dropped: number;
 }
 
-/** One per node: it owns a registry, so that nodes in one process do not share counters. */
+/** One per node. It owns a registry, so that nodes in one process do not share counters. */
 export class SidecarMetrics {
   private readonly registry = new Registry();
   private readonly requests = new Counter({
     name: 'spindlepaddle_requests_total',
-    help: 'Requests of clients by class of status and code of the outcome',
+    help: 'Client requests by status class and code of the outcome',
     labelNames: ['status', 'code'],
     registers: [this.registry],
   });
   private readonly tenantRequests = new Counter({
     name: 'spindlepaddle_tenant_requests_total',
-    help: 'Requests with a key by tenant, the ten with the highest limits by name, and code of the outcome',
+    help: 'Requests with a key by tenant (the ten with the highest limits by name) and outcome code',
     labelNames: ['tenant', 'code'],
     registers: [this.registry],
   });
-  /** Tenants that have a label of their own: later versions add none, so that labels stay few. */
+  /** Tenants with their own label. Later versions add none, which limits the number of labels. */
   private namedTenants: ReadonlySet<string> | undefined;
   private readonly offers = new Counter({
     name: 'spindlepaddle_offers_total',
@@ -70,12 +73,12 @@
   });
   private readonly crashes = new Counter({
     name: 'spindlepaddle_back_end_crashes_total',
-    help: 'Crashes of the back end here while requests were under way',
+    help: 'Crashes of the local back end while requests were in flight',
     registers: [this.registry],
   });
   private readonly overdueRuns = new Counter({
     name: 'spindlepaddle_runs_overdue_total',
-    help: 'Runs that the back end here did not answer while it answered later ones, or answered nobody',
+    help: 'Runs without an answer of the local back end while it answered later ones, or none at all',
     labelNames: ['route'],
     registers: [this.registry],
   });
@@ -87,7 +90,7 @@
   });
   private readonly rolloutChanges = new Counter({
     name: 'spindlepaddle_rollout_changes_total',
-    help: 'Orders, phases, decisions and statuses of roll-outs at this node, and the phase or state they led to',
+    help: 'Orders, phases, decisions and statuses of roll-outs here, by phase or state they led to',
     labelNames: ['change', 'to'],
     registers: [this.registry],
   });
@@ -105,7 +108,7 @@
   });
   private readonly relayBytes = new Counter({
     name: 'spindlepaddle_relay_answer_bytes_total',
-    help: 'Bytes of answers to nodes that read the store by way of this one, by kind of object',
+    help: 'Bytes of answers to nodes that read the store through this one, by kind of object',
     labelNames: ['kind'],
     registers: [this.registry],
   });
@@ -118,7 +121,7 @@
   });
   private readonly gauges = new Map<string, Gauge>();
 
-  /** The tenants of the first configuration that has any. */
+  /** Selects the tenants to count by name, from the first configuration that has any. */
   noteTenants(tenants: readonly { readonly name: string; readonly ratePerS: number }[]): void {
     if (!this.namedTenants && tenants.length > 0) {
       const largest = [...tenants].sort((left, right) => right.ratePerS - left.ratePerS);
@@ -126,7 +129,7 @@
     }
   }
 
-  /** A client has its final answer, or has left. */
+  /** Called when a client has received its final answer or has left. */
   requestFinished(record: RequestRecord): void {
     this.requests.inc({ status: `${Math.floor(record.status / 100)}xx`, code: record.code });
     if (record.tenant !== undefined) {
@@ -136,15 +139,15 @@
     for (const offer of record.offers) {
       this.offers.inc({ result: offer.result });
     }
-    this.stage(record.service, 'total', record.durationMs);
+    this.observeStage(record.service, 'total', record.durationMs);
   }
 
-  /** A task has left this owner. */
+  /** Called when a task has left this owner. */
   taskFinished(record: TaskRecord): void {
     this.tasks.inc({ result: record.result });
-    this.stage(record.service, 'queue', record.queuedMs);
+    this.observeStage(record.service, 'queue', record.queuedMs);
     if (record.backEndMs !== undefined) {
-      this.stage(record.service, 'back-end', record.backEndMs);
+      this.observeStage(record.service, 'back-end', record.backEndMs);
     }
   }
 
@@ -152,22 +155,25 @@
     this.crashes.inc();
   }
 
-  /** The back end here does not seem to answer a task. */
+  /** Called when the local back end does not seem to answer a run. */
   runOverdue(route: string): void {
     this.overdueRuns.inc({ route });
   }
 
-  /** An order, phase, decision or status of a roll-out; `to` is the phase or state, empty without one. */
+  /**
+   * Counts an order, phase, decision or status of a roll-out. `to` is the phase or state, or empty
+   * if the change has none.
+   */
   rolloutChanged(change: string, to: string): void {
     this.rolloutChanges.inc({ change, to });
   }
 
-  /** The store has answered, or not. */
+  /** Called when a call to the store has succeeded or failed. */
   storeCalled(operation: string, result: string): void {
     this.storeCalls.inc({ operation, result });
   }
 
-  /** The text of a scrape; `totals` are bytes since the start. */
+  /** Returns the text of a scrape. `totals` holds bytes since the start. */
   scrape(values: SidecarGauges, totals: TrafficTotals): Promise<string> {
     setTotals(this.peerBytes, totals.sent);
     setTotals(this.storeBytes, totals.received);
@@ -178,18 +184,18 @@
     return this.registry.metrics();
   }
 
-  private stage(service: string, stage: string, durationMs: number): void {
+  private observeStage(service: string, stage: string, durationMs: number): void {
     this.stages.observe({ service, stage }, durationMs / MILLISECONDS_PER_SECOND);
   }
 
   private gauge(name: string): Gauge {
-    const known = this.gauges.get(name);
-    if (known) {
-      return known;
+    const existing = this.gauges.get(name);
+    if (existing) {
+      return existing;
     }
     const created = new Gauge({
       name: `spindlepaddle_${name}`,
-      help: `Present value of ${name.replaceAll('_', ' ')}`,
+      help: `Current value of ${name.replaceAll('_', ' ')}`,
       registers: [this.registry],
     });
     this.gauges.set(name, created);
@@ -197,7 +203,10 @@
   }
 }
 
-/** Counted elsewhere, where each message costs an addition only; told here when they are asked for. */
+/**
+ * Sets a counter to sums that are kept elsewhere, where a message costs no more than an addition;
+ * called at each scrape.
+ */
 function setTotals(counter: Counter, totals: Readonly<Record<string, number>>): void {
   counter.reset();
   for (const [label, bytes] of Object.entries(totals)) {
--- a/src/diagnostics/unreadableLog.test.ts
+++ b/src/diagnostics/unreadableLog.test.ts
@@ -1,7 +1,8 @@
+/** Guards against a log flooded by a writer that keeps sending entries that cannot be decoded. */
 import { expect, it } from 'vitest';
 import { createUnreadableLog, UnreadableEntryKind } from './unreadableLog.js';
 
-it('has one line for a kind now and then, which counts what came since', () => {
+it('logs one line per kind and interval, with the number of entries since the line before', () => {
   const lines: unknown[] = [];
   let now = 0;
   const note = createUnreadableLog(
--- a/src/diagnostics/usageReporter.test.ts
+++ b/src/diagnostics/usageReporter.test.ts
@@ -1,3 +1,4 @@
+/** Guards against sums that are reset with each log line, and lines that repeat earlier amounts. */
 import { afterEach, beforeEach, expect, it, vi } from 'vitest';
 import { DecisionLog } from './decision-log.js';
 import { startUsageReporter } from './usageReporter.js';
@@ -10,7 +11,7 @@
   vi.useRealTimers();
 });
 
-it('tells what was sent and received since the last line, and begins anew', () => {
+it('logs what was sent and received since the previous line, and the sums since the start', () => {
   const lines: Record<string, unknown>[] = [];
   const log = new DecisionLog(
     'node-1',
@@ -20,20 +21,20 @@
       done();
     },
   );
-  const load = startUsageReporter(log);
-  load.noteSent('Offer', 100);
-  load.noteSent('Offer', 50);
-  load.noteReceived('config', 7);
-  load.noteRelayed('config', 9);
-  load.noteReply(3.4);
-  load.noteReply(12.2);
-  load.noteReply(5);
+  const reporter = startUsageReporter(log);
+  reporter.noteSent('Offer', 100);
+  reporter.noteSent('Offer', 50);
+  reporter.noteReceived('config', 7);
+  reporter.noteRelayed('config', 9);
+  reporter.noteReply(3.4);
+  reporter.noteReply(12.2);
+  reporter.noteReply(5);
   vi.advanceTimersByTime(5_000);
-  load.noteSent('Pong', 4);
+  reporter.noteSent('Pong', 4);
   vi.advanceTimersByTime(5_000);
-  load.stop();
+  reporter.stop();
   vi.advanceTimersByTime(20_000);
-  expect(load.totals).toEqual({
+  expect(reporter.totals).toEqual({
     sent: { Offer: 150, Pong: 4 },
     received: { config: 7 },
     relayed: { config: 9 },
--- a/src/diagnostics/usageReporter.ts
+++ b/src/diagnostics/usageReporter.ts
@@ -1,54 +1,57 @@
 /**
- * What a node spends and sends: where a link or a processor is full, this tells with what. As sums
- * since the start for metrics, and in one log line every few seconds.
+ * Counts a node's traffic and CPU time, so that the cause of a saturated link or processor can be
+ * found. Metrics read the sums since the start; a log line every few seconds holds the increase.
  */
 import type { DecisionLog } from './decision-log.js';
 
-/** Time that one line tells of, in milliseconds: short beside a minute, long beside the cost of a line. */
+/** Interval of log lines, in milliseconds: well below a minute, far above the cost of a line. */
 const LINE_INTERVAL_MS = 5_000;
 
 const MICROSECONDS_PER_MILLISECOND = 1_000;
 
 type Sums = Record<string, number>;
 
-/** Bytes since the start. */
+/** Sums of bytes since the start. */
 export interface TrafficTotals {
   /** Sent to other nodes, by kind of message. */
   readonly sent: Readonly<Sums>;
   /** Received from the store, by kind of object. */
   readonly received: Readonly<Sums>;
-  /** Answers to nodes that read by way of this one, by kind of object. */
+  /** Answers to nodes that read the store through this one, by kind of object. */
   readonly relayed: Readonly<Sums>;
 }
 
-/** Adds up; runs until stopped. */
+/** Sums up usage and writes log lines until stopped. */
 export interface UsageReporter {
   readonly totals: TrafficTotals;
   noteSent(message: string, bytes: number): void;
   noteReceived(kind: string, bytes: number): void;
   noteRelayed(kind: string, bytes: number): void;
-  /** Another node has said its first word on an offer, or answered a ping, after so many milliseconds. */
-  noteReply(tookMs: number): void;
+  /**
+   * Called when another node has sent its first response to an offer, or answered a ping, with the
+   * time that it took in milliseconds.
+   */
+  noteReply(durationMs: number): void;
   stop(): void;
 }
 
 export function startUsageReporter(log: DecisionLog): UsageReporter {
   const totals = { sent: {} as Sums, received: {} as Sums, relayed: {} as Sums };
-  let told: TrafficTotals = structuredClone(totals);
+  let reported: TrafficTotals = structuredClone(totals);
   let longestReplyMs = 0;
-  let cpu = process.cpuUsage();
+  let cpuAtLastLine = process.cpuUsage();
   const timer = setInterval(() => {
-    const spent = process.cpuUsage(cpu);
+    const cpuUsage = process.cpuUsage(cpuAtLastLine);
     log.event('load', {
-      sent: since(told.sent, totals.sent),
-      received: since(told.received, totals.received),
-      relayed: since(told.relayed, totals.relayed),
+      sent: increase(reported.sent, totals.sent),
+      received: increase(reported.received, totals.received),
+      relayed: increase(reported.relayed, totals.relayed),
       longestReplyMs: Math.round(longestReplyMs),
-      cpuMs: Math.round((spent.user + spent.system) / MICROSECONDS_PER_MILLISECOND),
+      cpuMs: Math.round((cpuUsage.user + cpuUsage.system) / MICROSECONDS_PER_MILLISECOND),
     });
-    told = structuredClone(totals);
+    reported = structuredClone(totals);
     longestReplyMs = 0;
-    cpu = process.cpuUsage();
+    cpuAtLastLine = process.cpuUsage();
   }, LINE_INTERVAL_MS);
   timer.unref();
   return {
@@ -56,8 +59,8 @@
     noteSent: (message, bytes) => add(totals.sent, message, bytes),
     noteReceived: (kind, bytes) => add(totals.received, kind, bytes),
     noteRelayed: (kind, bytes) => add(totals.relayed, kind, bytes),
-    noteReply: (tookMs) => {
-      longestReplyMs = Math.max(longestReplyMs, tookMs);
+    noteReply: (durationMs) => {
+      longestReplyMs = Math.max(longestReplyMs, durationMs);
     },
     stop: () => clearInterval(timer),
   };
@@ -67,8 +70,8 @@
   sums[name] = (sums[name] ?? 0) + bytes;
 }
 
-/** What has been added meanwhile. */
-function since(before: Readonly<Sums>, after: Readonly<Sums>): Sums {
+/** Returns the increase of each sum; omits those without one. */
+function increase(before: Readonly<Sums>, after: Readonly<Sums>): Sums {
   const added = Object.entries(after).map(
     ([name, sum]) => [name, sum - (before[name] ?? 0)] as const,
   );
