--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -1,7 +1,4 @@
-/**
- * Brings one client's request to an owner. Chooses an owner, offers it the request, retries with
- * other owners as far as that is allowed, and refuses the request at once if no owner is left.
- */
+/** Offers a client's request to owners in turn, within limits; refuses at once if none is left. */
 
 import type { CrossZoneBudget } from '../directory/crossZoneBudget.js';
 import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
@@ -44,10 +41,7 @@
   readonly zone: string;
   readonly result: string;
   readonly tookMs: number;
-  /**
-   * Present if the offer ended after its owner had fallen silent. Until it ends, its result is
-   * `silent`.
-   */
+  /** Present if the offer ended after its owner fell silent. Until then, `result` is `silent`. */
   readonly wasSilent?: boolean;
 }
 
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -20,10 +20,7 @@
 import type { RequestRecord } from './requestRecord.js';
 import { timeLimitOf } from './timeLimit.js';
 
-/**
- * Time to retry, in milliseconds, if the node has no configuration or there may be a newer one than
- * the one in force.
- */
+/** Time to retry, in milliseconds, if the node has no configuration or may lack a newer one. */
 const NO_CONFIGURATION_RETRY_AFTER_MS = 250;
 
 const BEHIND: ClientRefusal = {
@@ -207,10 +204,7 @@
     }
   }
 
-  /**
-   * The filter of owners by the route's policies. Undefined if the route has none. Left if the path
-   * can be read in more than one way.
-   */
+  /** Owner filter of the route's policies. Undefined if none; Left if the path is ambiguous. */
   private placementFor(matched: MatchedRoute): ReturnType<typeof createPlacementFilter> {
     const caller = {
       tenant: this.tenant?.name,
@@ -249,8 +243,7 @@
     const { allowedMs, code } = timeLimitOf(this.request, deadlineField, route);
     this.allowedMs = allowedMs;
     this.cancelTimer = this.options.timers.set(() => {
-      // A dispatch ends at once when cancelled; its refusal depends on whether the request may have
-      // run.
+      // A cancelled dispatch ends at once; its refusal depends on whether the request may have run.
       this.cancellation.cancel();
       if (!this.dispatch) {
         this.refuse({ code, status: 503, retryAfterMs: 0 }, mayClose());
