--- a/src/cli/applyCommand.ts
+++ b/src/cli/applyCommand.ts
@@ -1,4 +1,7 @@
-/** The command that puts a file in the place of the whole configuration, and waits for it to be in force. */
+/**
+ * The commands `apply`, which replaces the whole configuration with a file, and `wait`, which waits
+ * until a version is in force on all nodes.
+ */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { StoredObject } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
@@ -16,24 +19,24 @@
 import { isLost, readStored, replaceStored } from './storedConfiguration.js';
 import { reportWrite } from './writeReport.js';
 
-/** Pause between two looks at the nodes while waiting, in milliseconds. */
+/** Pause between two queries of the nodes while waiting, in milliseconds. */
 const WAIT_POLL_MS = 200;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** How `apply` goes about it. */
+/** Options of `apply`. */
 export interface ApplyOptions {
   readonly file: string;
-  /** Version that the operator has last seen; anything else in the store is a conflict. */
+  /** Version that the operator last read. If the store holds another one, `apply` is a conflict. */
   readonly expected: number | undefined;
-  /** Seconds to wait until the version is in force everywhere; undefined not to wait. */
+  /** Seconds to wait until the version is in force on all nodes. Undefined to not wait. */
   readonly waitSeconds: number | undefined;
 }
 
-/** Puts a file in the place of the whole configuration. */
-export async function apply(context: CommandContext, plan: ApplyOptions): Promise<ExitCode> {
+/** Replaces the whole configuration with a file. */
+export async function apply(context: CommandContext, options: ApplyOptions): Promise<ExitCode> {
   const { platform, store, output } = context;
-  const { configuration, findings } = readConfigurationFile(plan.file);
+  const { configuration, findings } = readConfigurationFile(options.file);
   if (!configuration) {
     return reportRejected(findings, output);
   }
@@ -45,25 +48,28 @@
     return reportUnavailable(read.failure, output);
   }
   const { stored } = read;
-  const found = stored?.version ?? 0;
-  if (plan.expected !== undefined && found !== plan.expected) {
-    return reportWrite({ kind: 'conflict', version: found }, output);
+  const storedVersion = stored?.version ?? 0;
+  if (options.expected !== undefined && storedVersion !== options.expected) {
+    return reportWrite({ kind: 'conflict', version: storedVersion }, output);
   }
   const result = await replaceStored(store, platform, stored, configuration, newestHeld);
   const code = reportWrite(result, output);
-  return result.kind === 'accepted' && plan.waitSeconds !== undefined
-    ? waitInForce(context, { version: result.version, object: result.object }, plan.waitSeconds)
+  return result.kind === 'accepted' && options.waitSeconds !== undefined
+    ? waitInForce(context, { version: result.version, object: result.object }, options.waitSeconds)
     : code;
 }
 
-/** What is waited for. */
+/** The version that `waitInForce` waits for. */
 export interface AwaitedVersion {
   readonly version: number;
-  /** As it was written, where that is known. */
+  /** The object as this program wrote it. Undefined if only the version is known. */
   readonly object?: StoredObject<unknown>;
 }
 
-/** Waits until a version is in force on every node that the store names, or that these know. */
+/**
+ * Waits until a version is in force on every node that has a record in the store or in the
+ * directory of another node.
+ */
 export async function waitInForce(
   context: CommandContext,
   { version, object }: AwaitedVersion,
@@ -75,7 +81,7 @@
   for (;;) {
     const [read, fleet] = await Promise.all([readStored(store, platform), readWholeFleet(store)]);
     if (object && read.kind === 'read' && isLost(read.stored, object)) {
-      return tellLost(version, output);
+      return reportLost(version, output);
     }
     const isKnown = fleet.kind === 'known' && fleet.nodes.length > 0;
     const behind = isKnown ? laggards(fleet.nodes, version) : [];
@@ -87,30 +93,36 @@
       return ExitCode.Ok;
     }
     if (waitedMs() >= seconds * MILLISECONDS_PER_SECOND) {
-      return tellBehind({ version, seconds, fleet, behind }, output);
+      return reportTimedOut({ version, seconds, fleet, behind }, output);
     }
     await delay(WAIT_POLL_MS);
   }
 }
 
-/** Nodes may hold it: they keep it, and whoever starts takes what the store holds. */
-function tellLost(version: number, output: Output): ExitCode {
+/**
+ * Reports a version that a restore of the store has removed. Nodes that hold it keep it, but a node
+ * that starts loads what the store holds.
+ */
+function reportLost(version: number, output: Output): ExitCode {
   output.result(
     { version, inForce: false, isLost: true },
     () =>
-      `The store has come back from a copy without version ${version}: apply the same file again.`,
+      `The store was restored from a copy without version ${version}: apply the same file again.`,
   );
   return ExitCode.Unknown;
 }
 
-interface Behind {
+interface TimedOutWait {
   readonly version: number;
   readonly seconds: number;
   readonly fleet: FleetResult;
   readonly behind: readonly NodeStatus[];
 }
 
-function tellBehind({ version, seconds, fleet, behind }: Behind, output: Output): ExitCode {
+function reportTimedOut(
+  { version, seconds, fleet, behind }: TimedOutWait,
+  output: Output,
+): ExitCode {
   const names = behind.map(({ node }) => node);
   const cause = fleet.kind === 'known' ? `behind: ${names.join(', ')}` : fleet.failure;
   output.result(
--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The operator's commands that read: a file, the store's one configuration, or what the nodes say. */
+/** The operator's commands that read a file, the stored configuration, or the nodes' status. */
 import { stringify as toYaml } from 'yaml';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
 import type { ObjectStore } from '../source/object-store.js';
@@ -11,14 +11,13 @@
 import { type Output, tableOf } from './output.js';
 import { readStored, type StoredConfiguration } from './storedConfiguration.js';
 
-/** What every command is given. */
 export interface CommandContext {
   readonly platform: OperatorPlatform;
   readonly store: ObjectStore;
   readonly output: Output;
 }
 
-/** Checks a file; needs no store. */
+/** Checks a file. Needs no store. */
 export function validate(file: string, output: Output): ExitCode {
   const { configuration, findings } = readConfigurationFile(file);
   if (!configuration) {
@@ -40,7 +39,7 @@
   return ExitCode.Ok;
 }
 
-/** Prints the configuration that the store holds. */
+/** Prints the stored configuration. */
 export function get(context: CommandContext): Promise<ExitCode> {
   return withStoredConfiguration(context, ({ version, configuration }) => {
     context.output.result({ version, configuration }, () =>
@@ -50,7 +49,7 @@
   });
 }
 
-/** Prints what a file would change. */
+/** Prints the changes that applying a file would make to the stored configuration. */
 export function diff(context: CommandContext, file: string): Promise<ExitCode> {
   const { configuration, findings } = readConfigurationFile(file);
   if (!configuration) {
@@ -67,7 +66,7 @@
   });
 }
 
-/** Prints which version each node has in force, and who is behind. */
+/** Prints the version that each node has in force, and the nodes that are behind. */
 export async function status(context: CommandContext): Promise<ExitCode> {
   const { platform, store, output } = context;
   const [read, fleet] = await Promise.all([readStored(store, platform), readFleet(store)]);
@@ -88,7 +87,7 @@
   return ExitCode.Ok;
 }
 
-/** Reads what the store holds; says so if it cannot be read or is not there. */
+/** Runs `use` with the stored configuration. Reports an error if there is none or reading fails. */
 export async function withStoredConfiguration(
   { platform, store, output }: CommandContext,
   use: (stored: StoredConfiguration) => ExitCode,
@@ -109,13 +108,13 @@
     node,
     zone,
     service,
-    version ?? 'out of reach',
+    version ?? 'unreachable',
     ready ? 'yes' : 'no',
   ]);
   return tableOf(['NODE', 'ZONE', 'SERVICE', 'VERSION', 'READY'], rows);
 }
 
 function withoutVersion(configuration: MeshConfiguration | undefined): object {
-  const { version: _version, ...rest } = configuration ?? { version: 0 };
-  return rest;
+  const { version: _version, ...fields } = configuration ?? { version: 0 };
+  return fields;
 }
--- a/src/cli/configurationDiff.ts
+++ b/src/cli/configurationDiff.ts
@@ -1,8 +1,7 @@
-/** What differs between two configurations, by kind and name. */
+/** Compares two configurations item by item, by kind and name. */
 import { isDeepStrictEqual } from 'node:util';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
 
-/** What happened to one item. */
 export enum Change {
   Added = '+',
   Removed = '-',
@@ -11,14 +10,14 @@
 
 export interface ItemChange {
   readonly change: Change;
-  /** Such as `routes` or `policies`. */
+  /** The field that holds the item, such as `routes` or `policies`. */
   readonly kind: string;
   readonly name: string;
 }
 
 const KINDS = ['routes', 'services', 'policies', 'secrets', 'tenants'] as const;
 
-/** Changes from one configuration to another; the version does not count. */
+/** Returns the changes from one configuration to another. Ignores the version. */
 export function configurationDiff(
   before: MeshConfiguration | undefined,
   after: MeshConfiguration,
@@ -34,22 +33,22 @@
   before: readonly { readonly name: string }[],
   after: readonly { readonly name: string }[],
 ): ItemChange[] {
-  const known = new Map(before.map((item) => [item.name, item]));
-  const present = new Set(after.map(({ name }) => name));
-  const removed = before.filter(({ name }) => !present.has(name));
-  const added = after.filter(({ name }) => !known.has(name));
+  const beforeByName = new Map(before.map((item) => [item.name, item]));
+  const namesAfter = new Set(after.map(({ name }) => name));
+  const removed = before.filter(({ name }) => !namesAfter.has(name));
+  const added = after.filter(({ name }) => !beforeByName.has(name));
   const revised = after.filter((item) => {
-    const old = known.get(item.name);
-    return old !== undefined && !isDeepStrictEqual(old, item);
+    const previous = beforeByName.get(item.name);
+    return previous !== undefined && !isDeepStrictEqual(previous, item);
   });
-  const as = (change: Change) => (item: { readonly name: string }) => ({
+  const withChange = (change: Change) => (item: { readonly name: string }) => ({
     change,
     kind,
     name: item.name,
   });
   return [
-    ...removed.map(as(Change.Removed)),
-    ...added.map(as(Change.Added)),
-    ...revised.map(as(Change.Revised)),
+    ...removed.map(withChange(Change.Removed)),
+    ...added.map(withChange(Change.Added)),
+    ...revised.map(withChange(Change.Revised)),
   ];
 }
--- a/src/cli/configurationFile.test.ts
+++ b/src/cli/configurationFile.test.ts
@@ -22,7 +22,7 @@
 
 const ROUTE = '  - { name: a, host: h, pathPrefix: /a/, kind: safe, service: desk';
 
-it('every finding of the form is reported with its line', () => {
+it('reports each invalid field with its line', () => {
   expect(
     findingsOf(
       'services: [{ name: desk }]',
@@ -43,11 +43,14 @@
   ['a service', `${ROUTE.replace('desk', 'gone')} }`, 'dangling-reference', 3],
   ['a policy', `${ROUTE}, policies: [gone] }`, 'dangling-reference', 3],
   ['a secret', `${ROUTE}, credential: { header: x, secret: gone } }`, 'dangling-reference', 3],
-])('%s that is not there is named at the route that needs it', (_what, route, code, line) => {
-  expect(findingsOf('services: [{ name: desk }]', 'routes:', route)).toEqual([[code, line]]);
-});
+])(
+  'reports %s that does not exist at the line of the route that refers to it',
+  (_what, route, code, line) => {
+    expect(findingsOf('services: [{ name: desk }]', 'routes:', route)).toEqual([[code, line]]);
+  },
+);
 
-it('a policy that cannot be compiled is named, and so are two routes with one match', () => {
+it('reports a policy that cannot be compiled, and two routes with the same match', () => {
   expect(
     findingsOf(
       'services: [{ name: desk }]',
@@ -63,13 +66,13 @@
   ]);
 });
 
-it('a file that is no YAML, or is not there, is a finding too', () => {
+it('reports a file that is not YAML or does not exist', () => {
   expect(findingsOf('routes: [')).toMatchObject([['malformed-yaml', 1]]);
   const { findings } = readConfigurationFile(join(folder, 'absent.yaml'));
   expect(findings).toMatchObject([{ code: 'unreadable-file' }]);
 });
 
-it('the examples are valid', () => {
+it('finds no problem in the examples', () => {
   for (const name of ['lektorka', 'kitagawa']) {
     const file = new URL(`../../examples/${name}.yaml`, import.meta.url).pathname;
     expect(readConfigurationFile(file).findings).toEqual([]);
--- a/src/cli/configurationFile.ts
+++ b/src/cli/configurationFile.ts
@@ -1,19 +1,19 @@
-/** Reads a whole configuration from a YAML file; every finding carries its file and line. */
+/** Reads a whole configuration from a YAML file. Every finding has its file and line. */
 import { readFileSync } from 'node:fs';
 import { isNode, LineCounter, parseDocument } from 'yaml';
 import type { Finding } from '../model/finding.js';
 import { compilePolicy } from '../policy/placement-policy.js';
 import { checkMeshConfiguration, type MeshConfiguration } from '../routing/mesh-configuration.js';
 
-/** Largest file read, in bytes. */
+/** Largest accepted file, in bytes. */
 const MAX_FILE_BYTES = 4 * 1024 * 1024;
 
-/** The version that a file is checked under; the store gives the real one. */
+/** Version used for the checks, which require one. `apply` sets the real version. */
 const CHECKED_VERSION = 1;
 
-/** What a file holds, in the product's model, or everything that is wrong with it. */
+/** The configuration of a file, or all findings about it. */
 export interface ConfigurationFile {
-  /** Undefined if there is any finding. */
+  /** Undefined if there are findings. */
   readonly configuration: MeshConfiguration | undefined;
   readonly findings: readonly Finding[];
 }
@@ -52,7 +52,7 @@
   return { configuration: located.length > 0 ? undefined : configuration, findings: located };
 }
 
-/** Checks a configuration whole: its form, its references, its policies, its routes side by side. */
+/** Checks the fields, the references, the policies, and that no two routes have the same match. */
 function checkConfiguration(parsed: unknown): ConfigurationFile {
   const candidate = { ...withSplits(parsed), version: CHECKED_VERSION };
   return checkMeshConfiguration(candidate).caseOf<ConfigurationFile>({
@@ -64,7 +64,7 @@
   });
 }
 
-/** A route may name one `service` in place of a `split`. */
+/** Replaces `service` of a route, the short form for a single service, with a `split`. */
 function withSplits(parsed: unknown): Fields {
   const fields = asFields(parsed);
   const routes = Array.isArray(fields.routes) ? fields.routes.map(asFields) : fields.routes;
@@ -89,14 +89,14 @@
   );
 }
 
-/** Two routes with one host and prefix would make the match depend on their order. */
+/** Reports routes with equal host and prefix: which of them matches would depend on their order. */
 function ambiguousRoutes({ routes }: MeshConfiguration): Finding[] {
-  const known = new Map<string, string>();
+  const nameByMatch = new Map<string, string>();
   return routes.flatMap(({ name, host, pathPrefix }, index) => {
-    const slot = `${host.toLowerCase()}${pathPrefix}`;
-    const other = known.get(slot);
-    known.set(slot, other ?? name);
-    const message = `route ${other} already matches ${slot}`;
+    const hostAndPrefix = `${host.toLowerCase()}${pathPrefix}`;
+    const other = nameByMatch.get(hostAndPrefix);
+    nameByMatch.set(hostAndPrefix, other ?? name);
+    const message = `route ${other} already matches ${hostAndPrefix}`;
     return other === undefined
       ? []
       : [{ code: 'ambiguous-route', path: `routes.${index}.pathPrefix`, message }];
--- a/src/cli/exitCode.ts
+++ b/src/cli/exitCode.ts
@@ -2,14 +2,17 @@
 export enum ExitCode {
   Ok = 0,
   Usage = 1,
-  /** The input was refused; the findings say why. Nothing was written. */
+  /** The input was rejected for the printed findings. Nothing was written. */
   Rejected = 2,
-  /** Somebody else changed the configuration meanwhile. Nothing was written. */
+  /** Another writer has changed the object since it was read. Nothing was written. */
   Conflict = 3,
-  /** The store cannot be used now. Nothing was written. */
+  /** The store is unavailable. Nothing was written. */
   Unavailable = 4,
-  /** The change may or may not have been written, or the store has lost it: apply the same file again. */
+  /**
+   * The change may or may not have been written, or a restore of the store has removed it. Apply
+   * the same file again.
+   */
   Unknown = 5,
-  /** A version was not in force everywhere in time; who is behind is printed. */
+  /** A wait timed out. For a version, the nodes that are behind are printed. */
   TimedOut = 6,
 }
--- a/src/cli/explainCommand.ts
+++ b/src/cli/explainCommand.ts
@@ -1,4 +1,4 @@
-/** Prints how a request would be decided. */
+/** The command `explain`: prints how the nodes would handle a request. */
 import { type CommandContext, withStoredConfiguration } from './commands.js';
 import { ExitCode } from './exitCode.js';
 import { type Explanation, explain, type RequestDescription } from './explanation.js';
@@ -8,23 +8,23 @@
 
 export async function explainRequest(
   context: CommandContext,
-  asked: RequestDescription,
+  request: RequestDescription,
 ): Promise<ExitCode> {
-  const found = await readRecords(context.store);
-  if ('failure' in found) {
-    return reportUnavailable(found.failure, context.output);
+  const listed = await readRecords(context.store);
+  if ('failure' in listed) {
+    return reportUnavailable(listed.failure, context.output);
   }
   return withStoredConfiguration(context, ({ version, configuration }) => {
     if (!configuration) {
-      const message = 'the stored configuration does not pass the checks';
+      const message = 'the stored configuration is invalid';
       return reportRejected([{ code: 'invalid', path: '', message }], context.output);
     }
-    const { tenant } = asked;
+    const { tenant } = request;
     if (tenant !== undefined && !configuration.tenants.some(({ name }) => name === tenant)) {
       const message = `version ${version} has no tenant ${tenant}`;
       return reportRejected([{ code: 'no-tenant', path: 'tenants', message }], context.output);
     }
-    const explanation = explain({ ...configuration, version }, found.records, asked);
+    const explanation = explain({ ...configuration, version }, listed.records, request);
     context.output.result(explanation, () => describe(explanation));
     return ExitCode.Ok;
   });
@@ -33,7 +33,7 @@
 function describe(explanation: Explanation): string {
   const { version, route, policies, isAmbiguous, owners, access } = explanation;
   const named = policies.length > 0 ? `, policies ${policies.join(', ')}` : '';
-  const refused = isAmbiguous ? ' The path is ambiguous: it is refused.' : '';
+  const refused = isAmbiguous ? ' The request is refused: its path is ambiguous.' : '';
   const head = `Version ${version}: ${route ? `route ${route}${named}` : 'no route'}.${refused}`;
   const lines = [head, ...(access ? [access.message] : [])];
   const rows = owners.map(({ node, zone, service, mayServe }) => [
--- a/src/cli/explainedAccess.ts
+++ b/src/cli/explainedAccess.ts
@@ -1,4 +1,4 @@
-/** What the holder of a tenant's key may do on a route, by the decision that nodes make. */
+/** Explains whether a route accepts a tenant's key, with the decision function of the nodes. */
 import type { MeshRoute } from '../routing/mesh-configuration.js';
 import { AccessKind, decideAccess } from '../tenants/access.js';
 import { createKeyring } from '../tenants/keyring.js';
@@ -8,17 +8,20 @@
 
 export interface ExplainedAccess {
   readonly isGranted: boolean;
-  /** As whom it is served; undefined on public routes. */
+  /** Tenant that the request counts for. Undefined on public routes. */
   readonly tenant: string | undefined;
-  /** How urgent it is, see `priorityOf`. */
+  /** Result of {@link priorityOf}. */
   readonly priority: number;
-  /** Limit over all nodes in requests a second, and on top; undefined without one. */
+  /** Limit over all nodes, in requests a second and burst. Undefined if there is no limit. */
   readonly limit: { readonly ratePerS: number; readonly burst: number } | undefined;
-  /** For people. */
+  /** The decision in a sentence, for people. */
   readonly message: string;
 }
 
-/** Undefined where the configuration has no tenants; without a name, of a client that sends no key. */
+/**
+ * Explains the access of the tenant `name`, or of a client without a key if `name` is undefined.
+ * Undefined if the configuration has no tenants.
+ */
 export function explainAccess(
   tenants: readonly MeshTenant[],
   route: MeshRoute,
@@ -27,22 +30,22 @@
   if (tenants.length === 0) {
     return undefined;
   }
-  const asked = tenants.find((tenant) => tenant.name === name);
+  const namedTenant = tenants.find((tenant) => tenant.name === name);
   const access = decideAccess({
     keyring: createKeyring(tenants),
     isPublic: route.isPublic,
-    keys: asked?.apiKeys.slice(0, 1) ?? [],
+    keys: namedTenant?.apiKeys.slice(0, 1) ?? [],
     mayBeStale: false,
     isTooStale: false,
   });
   if (access.kind !== AccessKind.Granted) {
-    const cause = asked ? `tenant ${asked.name} has no key` : 'it carries no key';
+    const cause = namedTenant ? `tenant ${namedTenant.name} has no key` : 'the request has no key';
     return {
       isGranted: false,
       tenant: undefined,
       priority: priorityOf(undefined, route),
       limit: undefined,
-      message: `It is refused with 401: ${cause}.`,
+      message: `Refused with 401: ${cause}.`,
     };
   }
   const { tenant } = access;
@@ -63,12 +66,12 @@
   limit: ExplainedAccess['limit'],
 ): string {
   if (!tenant) {
-    return `The route is public: it needs no key and counts for no tenant; priority ${route.priority}.`;
+    return `Public route: no key is needed, no tenant's limit applies; priority ${route.priority}.`;
   }
   const priority =
     tenant.priority === undefined
       ? `priority ${route.priority} of the route`
       : `priority ${tenant.priority} of the tenant, then ${route.priority} of the route`;
-  const most = limit ? `${limit.ratePerS}/s and ${limit.burst} on top` : 'no limit';
-  return `It is served as tenant ${tenant.name}: ${priority}; ${most} over all nodes.`;
+  const limitText = limit ? `${limit.ratePerS}/s with a burst of ${limit.burst}` : 'no limit';
+  return `Served as tenant ${tenant.name}: ${priority}; ${limitText} over all nodes.`;
 }
--- a/src/cli/explanation.ts
+++ b/src/cli/explanation.ts
@@ -1,4 +1,4 @@
-/** How a request would be decided: its route, its services, and the owners that may serve it. */
+/** Explains how the nodes would handle a request: its route, and the owners that may serve it. */
 import type { OwnerRecord } from '../directory/owner-entry.js';
 import { createPlacementFilter } from '../ingress/placementFilter.js';
 import { compilePolicy } from '../policy/placement-policy.js';
@@ -12,15 +12,15 @@
   readonly host: string;
   readonly method: string;
   readonly path: string;
-  /** Names in lower case. */
+  /** Header names are in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Zone in which it begins. */
+  /** Zone of the client. */
   readonly zone: string;
-  /** Name of the tenant whose key it carries. */
+  /** Name of the tenant whose key the request has. */
   readonly tenant?: string | undefined;
 }
 
-/** One owner of a service that the route leads to. */
+/** One owner of a service of the route. */
 export interface ExplainedOwner {
   readonly node: string;
   readonly zone: string;
@@ -30,39 +30,43 @@
 
 export interface Explanation {
   readonly version: number;
-  /** Undefined when there is none. */
+  /** Undefined if no route matches. */
   readonly route: string | undefined;
   readonly policies: readonly string[];
-  /** True when the path has no single reading, so that the route's policies refuse it. */
+  /** True if the path can be read in more than one way, so that the route's policies refuse it. */
   readonly isAmbiguous: boolean;
   readonly owners: readonly ExplainedOwner[];
-  /** Undefined without a route, and where there are no tenants. */
+  /** Undefined if no route matches or the configuration has no tenants. */
   readonly access?: ExplainedAccess | undefined;
 }
 
 export function explain(
   configuration: MeshConfiguration,
   records: readonly OwnerRecord[],
-  asked: RequestDescription,
+  description: RequestDescription,
 ): Explanation {
   const { version } = configuration;
-  // Secrets play no part in the decision.
+  // The decision does not depend on secrets.
   const completion = resolveDependencies(
     { ...configuration, secrets: [] },
     { compilePolicy, secrets: new Map() },
   );
   const complements = completion.kind === 'complete' ? completion.complements : undefined;
   const matcher = new RouteMatcher(configuration, undefined, complements);
-  const matched = matcher.match(asked.host, asked.path);
+  const matched = matcher.match(description.host, description.path);
   if (!matched) {
     return { version, route: undefined, policies: [], isAmbiguous: false, owners: [] };
   }
   const { name, policies, split } = matched.route;
-  const own = { node: '', address: '', zone: asked.zone, service: '' };
-  const request = { method: asked.method, url: asked.path, headers: asked.headers };
-  const access = explainAccess(configuration.tenants, matched.route, asked.tenant);
-  // The command does not know the nodes' header names: a key or tenant field given with --header is seen
-  // by policies here, which nodes hide from them.
+  const own = { node: '', address: '', zone: description.zone, service: '' };
+  const request = {
+    method: description.method,
+    url: description.path,
+    headers: description.headers,
+  };
+  const access = explainAccess(configuration.tenants, matched.route, description.tenant);
+  // Nodes hide the key and tenant fields from policies. The command does not know the nodes' header
+  // names, so its policies see such fields if they are given with --header.
   const caller = { tenant: access?.tenant, hiddenFields: new Set<string>() };
   const placements = split.map(({ service }) => ({
     service,
--- a/src/cli/failures.ts
+++ b/src/cli/failures.ts
@@ -1,17 +1,17 @@
-/** Commands that could not be carried out: what is printed, and the exit code. */
+/** Prints why a command failed and returns the exit code. */
 import { type Finding, formatFinding } from '../model/finding.js';
 import type { StoreFailure } from '../source/object-store.js';
 import { ExitCode } from './exitCode.js';
 import type { Output } from './output.js';
 
-/** What was given does not pass the checks. */
+/** Reports input that does not pass the checks. */
 export function reportRejected(findings: readonly Finding[], output: Output): ExitCode {
   output.failure({ findings }, findings.map(formatFinding).join('\n'));
   return ExitCode.Rejected;
 }
 
-/** The store has not done what was asked. */
+/** Reports a failed call to the store. */
 export function reportUnavailable(failure: StoreFailure, output: Output): ExitCode {
-  output.failure({ failure }, `The store cannot be used: ${failure}.`);
+  output.failure({ failure }, `The call to the store failed: ${failure}.`);
   return ExitCode.Unavailable;
 }
--- a/src/cli/fleetStatus.ts
+++ b/src/cli/fleetStatus.ts
@@ -1,4 +1,4 @@
-/** Which version every node has in force, as the nodes themselves say. */
+/** Asks the nodes for their status: the version in force, readiness, and what tenants have used. */
 import PQueue from 'p-queue';
 import { NODE_KIND } from '../directory/directory-sync.js';
 import type { OwnerRecord } from '../directory/owner-entry.js';
@@ -8,19 +8,22 @@
 import { type ObjectStore, ReadConsistency, type StoreFailure } from '../source/object-store.js';
 import { parseTenantUsage, type TenantUsage } from '../tenants/tenantUsage.js';
 
-/** Nodes that are asked at the same time. */
+/** Number of nodes that are asked at the same time. */
 const CONCURRENCY = 32;
 
-/** A node that takes longer to answer, in milliseconds, is out of reach. */
+/** Timeout of a node's answer in milliseconds. A node that exceeds it is unreachable. */
 const ANSWER_TIMEOUT_MS = 1_000;
 
-/** Nodes that are asked which others they know: each knows all but those that have just come. */
-const ASKED_FOR_OTHERS = 2;
+/**
+ * Number of nodes that are asked for their directory. Each directory has all nodes but those that
+ * have just started.
+ */
+const DIRECTORY_QUERIES = 2;
 
-/** Nodes that are asked for the newest version: any one in touch holds it. */
-const ASKED_FOR_VERSION = 8;
+/** Number of nodes that are asked for the newest version. Any node in contact holds it. */
+const VERSION_QUERIES = 8;
 
-/** An operator's program is no node: it has no back end and holds no version. */
+/** The operator's program sends this report, as it is not a node: no back end and no version. */
 const NO_REPORT: PeerReport = {
   service: undefined,
   ready: false,
@@ -37,16 +40,16 @@
 };
 const NO_ADDRESS = '0.0.0.0:0';
 
-/** One node, as it is known. */
+/** Status of one node. */
 export interface NodeStatus {
   readonly node: string;
   readonly zone: string;
   readonly service: string;
-  /** Version in force; undefined if the node is out of reach. */
+  /** Version in force. Undefined if the node is unreachable. */
   readonly version: number | undefined;
-  /** True while its back end takes work. */
+  /** True while its back end accepts tasks. */
   readonly ready: boolean;
-  /** Version of its back end; undefined until that has told it. */
+  /** Version of its back end. Undefined until the back end has reported it. */
   readonly backEndVersion?: string | undefined;
 }
 
@@ -54,7 +57,7 @@
   | { readonly kind: 'known'; readonly nodes: readonly NodeStatus[] }
   | { readonly kind: 'unavailable'; readonly failure: StoreFailure };
 
-/** The records of all nodes in the store that have not left. */
+/** Returns the store's records of all nodes that have not left. */
 export async function readRecords(
   store: ObjectStore,
 ): Promise<{ records: OwnerRecord[] } | { failure: StoreFailure }> {
@@ -68,48 +71,50 @@
     : { failure: listed.failure };
 }
 
-/** Asks every node that the store names. */
+/** Asks every node that has a record in the store. */
 export async function readFleet(store: ObjectStore): Promise<FleetResult> {
-  const found = await readRecords(store);
-  return 'failure' in found
-    ? { kind: 'unavailable', failure: found.failure }
-    : askFleet(found.records);
+  const listed = await readRecords(store);
+  return 'failure' in listed
+    ? { kind: 'unavailable', failure: listed.failure }
+    : askFleet(listed.records);
 }
 
 /**
- * Asks every node that the store names, and every other one that these know: a store that has come back from a
- * copy lacks the records of nodes for a moment.
+ * Asks every node that has a record in the store or in the directory of some of these nodes. A
+ * store that has just been restored from a copy lacks the records of some nodes for a moment.
  */
 export async function readWholeFleet(store: ObjectStore): Promise<FleetResult> {
-  const found = await readRecords(store);
-  if ('failure' in found) {
-    return { kind: 'unavailable', failure: found.failure };
+  const listed = await readRecords(store);
+  if ('failure' in listed) {
+    return { kind: 'unavailable', failure: listed.failure };
   }
-  const asked = found.records.slice(0, ASKED_FOR_OTHERS);
-  const told = await askAll(asked, async (caller, { address }) => {
-    const bytes = await caller.directory(address, ANSWER_TIMEOUT_MS);
+  const targets = listed.records.slice(0, DIRECTORY_QUERIES);
+  const directories = await askAll(targets, async (client, { address }) => {
+    const bytes = await client.directory(address, ANSWER_TIMEOUT_MS);
     return (bytes && readOwnerRecords(bytes)) ?? [];
   });
-  const byNode = new Map([...told.flat(), ...found.records].map((record) => [record.node, record]));
+  const byNode = new Map(
+    [...directories.flat(), ...listed.records].map((record) => [record.node, record]),
+  );
   return askFleet([...byNode.values()]);
 }
 
-/** The newest version that some of the nodes hold, 0 if none of them answers. */
+/** Returns the newest version that a few of the nodes hold. 0 if none of them answers. */
 export async function readNewestHeldVersion(store: ObjectStore): Promise<number> {
-  const found = await readRecords(store);
-  if ('failure' in found) {
+  const listed = await readRecords(store);
+  if ('failure' in listed) {
     return 0;
   }
-  const versions = await askAll(found.records.slice(0, ASKED_FOR_VERSION), (caller, { address }) =>
-    caller.status(address, ANSWER_TIMEOUT_MS),
+  const versions = await askAll(listed.records.slice(0, VERSION_QUERIES), (client, { address }) =>
+    client.status(address, ANSWER_TIMEOUT_MS),
   );
   return Math.max(0, ...versions.map((report) => report?.version ?? 0));
 }
 
 async function askFleet(records: readonly OwnerRecord[]): Promise<FleetResult> {
-  const nodes = await askAll(records, async (caller, record): Promise<NodeStatus> => {
+  const nodes = await askAll(records, async (client, record): Promise<NodeStatus> => {
     const { node, address, zone, service } = record;
-    const report = await caller.status(address, ANSWER_TIMEOUT_MS);
+    const report = await client.status(address, ANSWER_TIMEOUT_MS);
     return {
       node,
       zone,
@@ -124,30 +129,30 @@
   return { kind: 'known', nodes: [...nodes].sort(byZone) };
 }
 
-/** Asks for what tenants have used of late at each node; undefined for one that is out of reach. */
+/** Asks each node for the recent usage of its tenants. Undefined for an unreachable node. */
 export function readTenantUses(
   records: readonly OwnerRecord[],
 ): Promise<(readonly TenantUsage[] | undefined)[]> {
-  return askAll(records, async (caller, { address }) => {
-    const bytes = await caller.tenantUse(address, ANSWER_TIMEOUT_MS);
+  return askAll(records, async (client, { address }) => {
+    const bytes = await client.tenantUse(address, ANSWER_TIMEOUT_MS);
     return bytes && parseTenantUsage(bytes);
   });
 }
 
-/** Asks nodes, some at a time. */
+/** Runs `ask` for each record, {@link CONCURRENCY} at a time. */
 function askAll<Answer>(
   records: readonly OwnerRecord[],
-  ask: (caller: PeerClient, record: OwnerRecord) => Promise<Answer>,
+  ask: (client: PeerClient, record: OwnerRecord) => Promise<Answer>,
 ): Promise<Answer[]> {
-  const caller = new PeerClient(
+  const client = new PeerClient(
     () => ({ address: NO_ADDRESS, version: 0 }),
     () => NO_REPORT,
   );
   const queue = new PQueue({ concurrency: CONCURRENCY });
-  return queue.addAll(records.map((record) => () => ask(caller, record)));
+  return queue.addAll(records.map((record) => () => ask(client, record)));
 }
 
-/** Nodes that do not have a version in force, or a newer one. */
+/** Returns the nodes that have an older version in force or are unreachable. */
 export function laggards(nodes: readonly NodeStatus[], version: number): NodeStatus[] {
   return nodes.filter((node) => node.version === undefined || node.version < version);
 }
--- a/src/cli/operatorPlatform.ts
+++ b/src/cli/operatorPlatform.ts
@@ -1,4 +1,4 @@
-/** What a deployment brings to the operator's commands: its store and how that spells things. */
+/** What the operator's commands need of a platform: its store, and its names and formats there. */
 import type { RolloutCodec } from '../directory/rolloutStatusWriter.js';
 import type { MeshConfiguration } from '../routing/mesh-configuration.js';
 import type { ConfigurationCandidate } from '../source/configuration-holder.js';
@@ -12,6 +12,6 @@
   readonly configurationName: string;
   readonly decodeConfiguration: (spec: unknown) => ConfigurationCandidate | undefined;
   readonly encodeConfiguration: (configuration: MeshConfiguration) => unknown;
-  /** How orders for roll-outs are spelled; left out where there are none. */
+  /** Codec of the orders for roll-outs. Undefined if the platform has no roll-outs. */
   readonly rollouts?: RolloutCodec;
 }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,14 +1,12 @@
-/** What commands print: sentences and tables for people, JSON for programs. */
+/** Prints the results of commands: sentences and tables for people, or JSON for programs. */
 
-/** Where a command's result goes. */
 export interface Output {
-  /** On standard output; `render` is called for people only. */
+  /** Prints to standard output. `render` is called only if the output is not JSON. */
   result(value: unknown, render: () => string): void;
-  /** On standard error for people, on standard output as JSON. */
+  /** Prints `text` to standard error, or `value` as JSON to standard output. */
   failure(value: unknown, text: string): void;
 }
 
-/** Writes a text somewhere. */
 export type Write = (text: string) => void;
 
 export function createOutput(isJson: boolean, write: Write, writeError: Write): Output {
@@ -19,7 +17,7 @@
   };
 }
 
-/** Rows in aligned columns below a heading. */
+/** Formats rows in aligned columns below a heading. */
 export function tableOf(
   heading: readonly string[],
   rows: readonly (readonly (string | number)[])[],
--- a/src/cli/quarantineCommands.ts
+++ b/src/cli/quarantineCommands.ts
@@ -1,4 +1,4 @@
-/** Commands about requests that are refused because they have crashed back ends. */
+/** Commands about quarantines: requests that are refused because they have crashed back ends. */
 import { CRASH_KIND, type CrashRecord, isCrashRecord } from '../directory/crashRecord.js';
 import { type ObjectStore, ReadConsistency } from '../source/object-store.js';
 import type { CommandContext } from './commands.js';
@@ -6,7 +6,7 @@
 import { reportRejected, reportUnavailable } from './failures.js';
 import { tableOf } from './output.js';
 
-/** Prints the quarantines that the store holds. */
+/** Prints the quarantines in the store. */
 export async function listQuarantines({ store, output }: CommandContext): Promise<ExitCode> {
   const listed = await readCrashes(store);
   if (!listed.ok) {
@@ -25,13 +25,16 @@
       ? 'No request is quarantined.'
       : tableOf(
           ['FINGERPRINT', 'CALLER', 'CRASHES', 'INSTANCE'],
-          quarantines.map((each) => Object.values(each)),
+          quarantines.map((entry) => Object.values(entry)),
         ),
   );
   return ExitCode.Ok;
 }
 
-/** Ends the quarantines of a request: it runs alone once, and is served again if it runs to its end. */
+/**
+ * Ends the quarantines of a request. The request then runs alone once, and is served again if that
+ * run completes.
+ */
 export async function liftQuarantine(
   { store, output }: CommandContext,
   fingerprint: string,
@@ -40,14 +43,14 @@
   if (!listed.ok) {
     return reportUnavailable(listed.failure, output);
   }
-  const proofs = listed.value.items.filter(({ spec }) =>
-    spec.quarantined.some((each) => each.fingerprint === fingerprint),
+  const records = listed.value.items.filter(({ spec }) =>
+    spec.quarantined.some((entry) => entry.fingerprint === fingerprint),
   );
-  if (proofs.length === 0) {
+  if (records.length === 0) {
     const message = `no request with the fingerprint ${fingerprint} is quarantined`;
     return reportRejected([{ code: 'no-quarantine', path: '', message }], output);
   }
-  for (const { name, revision } of proofs) {
+  for (const { name, revision } of records) {
     const result = await store.remove(CRASH_KIND, name, revision);
     if (!result.ok) {
       return reportUnavailable(result.failure, output);
@@ -57,7 +60,7 @@
   return ExitCode.Ok;
 }
 
-/** What another writer left among them is no record. */
+/** Lists the crash records. Skips invalid objects, which another writer may have stored. */
 async function readCrashes(store: ObjectStore) {
   const listed = await store.list<CrashRecord>(CRASH_KIND, ReadConsistency.Strong);
   if (!listed.ok) {
--- a/src/cli/rolloutCommandLine.ts
+++ b/src/cli/rolloutCommandLine.ts
@@ -1,4 +1,4 @@
-/** The words of the commands about roll-outs. */
+/** Command line of the `rollout` commands. */
 import type { Argv } from 'yargs';
 import type { CommandContext } from './commands.js';
 import type { ExitCode } from './exitCode.js';
@@ -23,7 +23,7 @@
     .demandCommand(1, 'Name a command: start, status or watch.')
     .command(
       'start <service> <target>',
-      'Order that the traffic of a service moves to back ends of a version',
+      'Order that the traffic of a service is moved to back ends of a version',
       (options) =>
         options
           .positional('service', { type: 'string', demandOption: true })
@@ -32,7 +32,7 @@
           .option('replace', {
             type: 'boolean',
             default: false,
-            describe: 'Take the place of an order that runs',
+            describe: 'Replace a running order',
           }),
       ({ service, target, duration, replace, ...rest }) =>
         run(rest, (command) =>
--- a/src/cli/rolloutCommands.ts
+++ b/src/cli/rolloutCommands.ts
@@ -1,4 +1,4 @@
-/** Commands about roll-outs: each is one order in the store, whose status the sidecars write. */
+/** Commands about roll-outs: each is an order in the store, whose status the sidecars write. */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { RolloutCodec } from '../directory/rolloutStatusWriter.js';
 import type { Finding } from '../model/finding.js';
@@ -19,65 +19,65 @@
 import { readStored } from './storedConfiguration.js';
 
 /**
- * Shortest roll-out in milliseconds: the version is watched for two thirds of it, and a version may turn
- * bad some seconds after its start; the last step takes some two seconds, and longer with long requests.
+ * Shortest accepted duration in milliseconds. The version is observed for two thirds of it, and a
+ * version may become bad some seconds after its start. The last step takes about two seconds, and
+ * longer with long requests.
  */
 const SHORTEST_MS = 8_000;
 
-/** Pause between two looks at an order that is watched, in milliseconds. */
+/** Pause between two reads of an order that is watched, in milliseconds. */
 const WATCH_POLL_MS = 500;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What an operator asks for. */
 export interface RolloutRequest {
   readonly service: string;
   readonly targetVersion: string;
   readonly durationMs: number;
-  /** True to take the place of an order that runs. */
+  /** True to replace a running order. */
   readonly replaces: boolean;
 }
 
-/** Orders a roll-out, unless one of the service runs or it cannot be carried out. */
+/** Orders a roll-out. Rejects it if the service has a running one or it cannot be carried out. */
 export async function startRollout(
   context: CommandContext,
-  asked: RolloutRequest,
+  request: RolloutRequest,
 ): Promise<ExitCode> {
   const { store, output, platform } = context;
   const { rollouts } = platform;
   if (!rollouts) {
-    return reportRejected([NOT_FOLLOWED], output);
+    return reportRejected([NO_ROLLOUTS], output);
   }
   const read = await readStored(store, platform);
   if (read.kind === 'unavailable') {
     return reportUnavailable(read.failure, output);
   }
   const services = read.stored?.configuration?.services.map(({ name }) => name);
-  const held = await readOrder(store, rollouts, asked.service);
-  if (held.failure !== undefined) {
-    return reportUnavailable(held.failure, output);
+  const current = await readOrder(store, rollouts, request.service);
+  if (current.failure !== undefined) {
+    return reportUnavailable(current.failure, output);
   }
   const findings = [
-    ...findingsOf(asked, services),
-    ...(await versionFindings(store, asked)),
-    ...standingFindings(asked, held.order),
+    ...findingsOf(request, services),
+    ...(await versionFindings(store, request)),
+    ...runningOrderFindings(request, current.order),
   ];
   if (findings.length > 0) {
     return reportRejected(findings, output);
   }
-  const spec = rollouts.encode(asked);
-  const result = await writeOrder(store, rollouts.kind, { asked, held, spec });
-  return result.ok ? started(asked, output) : refusedWrite(result, output);
+  const spec = rollouts.encode(request);
+  const result = await writeOrder(store, rollouts.kind, { request, current, spec });
+  return result.ok ? reportStarted(request, output) : reportFailedWrite(result, output);
 }
 
-/** Prints the orders that the store holds, or that of one service. */
+/** Prints the orders in the store, or only that of `service`. */
 export async function rolloutStatus(
   { store, output, platform }: CommandContext,
   service: string | undefined,
 ): Promise<ExitCode> {
   const { rollouts } = platform;
   if (!rollouts) {
-    return reportRejected([NOT_FOLLOWED], output);
+    return reportRejected([NO_ROLLOUTS], output);
   }
   const listed = await store.list<unknown>(rollouts.kind, ReadConsistency.Strong);
   if (!listed.ok) {
@@ -86,19 +86,19 @@
   const orders = listed.value.items
     .flatMap((object) => rollouts.decode(object) ?? [])
     .filter((order) => service === undefined || order.service === service)
-    .map(shown);
+    .map(describeOrder);
   output.result({ rollouts: orders }, () =>
     orders.length === 0
       ? 'No roll-out is ordered.'
       : tableOf(
           ['SERVICE', 'VERSION', 'SECONDS', 'STATE'],
-          orders.map((each) => Object.values(each)),
+          orders.map((row) => Object.values(row)),
         ),
   );
   return ExitCode.Ok;
 }
 
-/** Prints each state of an order until it ends; `TimedOut` if that takes too long. */
+/** Prints each state of an order until it ends. Returns `TimedOut` if that takes too long. */
 export async function watchRollout(
   { store, output, platform }: CommandContext,
   service: string,
@@ -106,13 +106,13 @@
 ): Promise<ExitCode> {
   const { rollouts } = platform;
   if (!rollouts) {
-    return reportRejected([NOT_FOLLOWED], output);
+    return reportRejected([NO_ROLLOUTS], output);
   }
-  const until = performance.now() + timeoutSeconds * MILLISECONDS_PER_SECOND;
+  const deadline = performance.now() + timeoutSeconds * MILLISECONDS_PER_SECOND;
   let last = '';
-  while (performance.now() < until) {
+  while (performance.now() < deadline) {
     const { order } = await readOrder(store, rollouts, service);
-    const line = order && shown(order);
+    const line = order && describeOrder(order);
     if (line && JSON.stringify(line) !== last) {
       last = JSON.stringify(line);
       output.result(line, () => `${line.service} to ${line.version}: ${line.state}`);
@@ -125,13 +125,13 @@
   return ExitCode.TimedOut;
 }
 
-const NOT_FOLLOWED: Finding = {
+const NO_ROLLOUTS: Finding = {
   code: 'no-roll-outs',
   path: '',
-  message: 'this deployment knows no roll-outs',
+  message: 'this deployment does not support roll-outs',
 };
 
-/** Undefined services when no configuration can be read: then nothing is said of them. */
+/** Checks the request. `services` is undefined if no valid configuration is stored. */
 function findingsOf(
   { service, durationMs }: RolloutRequest,
   services: readonly string[] | undefined,
@@ -144,7 +144,7 @@
   const short: Finding = {
     code: 'duration-too-short',
     path: 'duration',
-    message: `${durationMs / MILLISECONDS_PER_SECOND} s are too short to judge a version: at least ${SHORTEST_MS / MILLISECONDS_PER_SECOND} s`,
+    message: `${durationMs / MILLISECONDS_PER_SECOND} s is too short to judge a version: at least ${SHORTEST_MS / MILLISECONDS_PER_SECOND} s`,
   };
   return [
     ...(services && !services.includes(service) ? [unknown] : []),
@@ -152,72 +152,75 @@
   ];
 }
 
-/** A version that every back end of the service has leaves nothing to move. */
-async function versionFindings(store: ObjectStore, asked: RolloutRequest): Promise<Finding[]> {
+/** Reports a version that all back ends of the service already have: no traffic is left to move. */
+async function versionFindings(store: ObjectStore, request: RolloutRequest): Promise<Finding[]> {
   const fleet = await readFleet(store);
   const owners =
-    fleet.kind === 'known' ? fleet.nodes.filter(({ service }) => service === asked.service) : [];
-  // An owner that is out of reach, or has not told its version, may have another one.
+    fleet.kind === 'known' ? fleet.nodes.filter(({ service }) => service === request.service) : [];
+  // An owner that is unreachable, or whose version is unknown, may have another version.
   const isMoved =
     owners.length > 0 &&
-    owners.every(({ backEndVersion }) => backEndVersion === asked.targetVersion);
+    owners.every(({ backEndVersion }) => backEndVersion === request.targetVersion);
   return isMoved
     ? [
         {
           code: 'already-there',
           path: 'version',
-          message: `every back end of ${asked.service} has the version ${asked.targetVersion}`,
+          message: `all back ends of ${request.service} have version ${request.targetVersion}`,
         },
       ]
     : [];
 }
 
-function standingFindings(
+function runningOrderFindings(
   { replaces }: RolloutRequest,
   order: RolloutOrder | undefined,
 ): Finding[] {
   if (!order || hasEnded(order) || replaces) {
     return [];
   }
-  const message = `a roll-out to ${order.targetVersion} runs: --replace to end it with this one`;
+  const message = `a roll-out to ${order.targetVersion} is running: use --replace to replace it`;
   return [{ code: 'roll-out-runs', path: 'service', message }];
 }
 
-interface HeldOrder {
+interface CurrentOrder {
   readonly object?: StoredObject<unknown>;
   readonly order?: RolloutOrder | undefined;
-  /** Set if the store did not answer. */
+  /** Set if the read failed. */
   readonly failure?: StoreError['failure'];
 }
 
-interface NewOrder {
-  readonly asked: RolloutRequest;
-  readonly held: HeldOrder;
+interface OrderWrite {
+  readonly request: RolloutRequest;
+  readonly current: CurrentOrder;
   readonly spec: unknown;
 }
 
-/** A status that says how an earlier order of the same version ended would end the new one at once. */
+/**
+ * Creates the order or replaces the current one. An ended order for the same version is removed
+ * first, as its status would apply to the new order and end it at once.
+ */
 async function writeOrder(
   store: ObjectStore,
   kind: string,
-  { asked, held, spec }: NewOrder,
+  { request, current, spec }: OrderWrite,
 ): Promise<StoreResult<StoredObject<unknown>>> {
-  const { object, order } = held;
+  const { object, order } = current;
   if (!object) {
-    return store.create(kind, asked.service, spec);
+    return store.create(kind, request.service, spec);
   }
-  if (!order || !hasEnded(order) || order.targetVersion !== asked.targetVersion) {
+  if (!order || !hasEnded(order) || order.targetVersion !== request.targetVersion) {
     return store.replace(kind, { ...object, spec });
   }
-  const removed = await store.remove(kind, asked.service, object.revision);
-  return removed.ok ? store.create(kind, asked.service, spec) : removed;
+  const removed = await store.remove(kind, request.service, object.revision);
+  return removed.ok ? store.create(kind, request.service, spec) : removed;
 }
 
 async function readOrder(
   store: ObjectStore,
   rollouts: RolloutCodec,
   service: string,
-): Promise<HeldOrder> {
+): Promise<CurrentOrder> {
   const result = await store.get<unknown>(rollouts.kind, service);
   if (result.ok) {
     return { object: result.value, order: rollouts.decode(result.value) };
@@ -225,7 +228,10 @@
   return result.failure === 'not-found' ? {} : { failure: result.failure };
 }
 
-function started({ service, targetVersion, durationMs }: RolloutRequest, output: Output): ExitCode {
+function reportStarted(
+  { service, targetVersion, durationMs }: RolloutRequest,
+  output: Output,
+): ExitCode {
   output.result(
     { started: service, targetVersion, durationMs },
     () => `The roll-out of ${service} to ${targetVersion} is ordered.`,
@@ -233,22 +239,22 @@
   return ExitCode.Ok;
 }
 
-function refusedWrite({ failure }: StoreError, output: Output): ExitCode {
+function reportFailedWrite({ failure }: StoreError, output: Output): ExitCode {
   if (failure === 'conflict' || failure === 'not-found') {
-    output.failure({ kind: 'conflict' }, 'Somebody else has changed the order meanwhile.');
+    output.failure({ kind: 'conflict' }, 'Another writer has changed the order since it was read.');
     return ExitCode.Conflict;
   }
   if (failure === 'unknown') {
     output.failure(
       { kind: 'unknown' },
-      'It is not known whether the order was written: see status.',
+      'It is unknown whether the order was written: run `rollout status`.',
     );
     return ExitCode.Unknown;
   }
   return reportUnavailable(failure, output);
 }
 
-function shown({ service, targetVersion, durationMs, state }: RolloutOrder) {
+function describeOrder({ service, targetVersion, durationMs, state }: RolloutOrder) {
   return {
     service,
     version: targetVersion,
--- a/src/cli/runCli.ts
+++ b/src/cli/runCli.ts
@@ -1,4 +1,4 @@
-/** The command line of the operators: words to commands, nothing else. */
+/** The operators' command line: parses the arguments and runs the command. */
 import yargs, { type Argv } from 'yargs';
 import { monotonicClock } from '../model/clock.js';
 import { createEraGuard } from '../source/eraGuard.js';
@@ -15,17 +15,17 @@
 
 const DEFAULT_WAIT_SECONDS = 30;
 
-/** Where the program meets the world. */
+/** Environment of the program. */
 export interface CliContext {
   readonly platform: OperatorPlatform;
   readonly write: Write;
   readonly writeError: Write;
-  /** Address of the store if the command names none. */
+  /** Address of the store if the option `--store` is not given. */
   readonly defaultStore: string | undefined;
 }
 
 /** Runs one command and resolves with its exit code. */
-export async function runCli(words: readonly string[], context: CliContext): Promise<ExitCode> {
+export async function runCli(args: readonly string[], context: CliContext): Promise<ExitCode> {
   let code = ExitCode.Usage;
   const run = async (
     options: { readonly store: string; readonly json: boolean },
@@ -39,7 +39,7 @@
       store.close(),
     );
   };
-  const parser = yargs([...words])
+  const parser = yargs([...args])
     .scriptName('spindlepaddle')
     .version(false)
     .strict()
@@ -63,7 +63,7 @@
     )
     .command(
       'apply <file>',
-      'Put a file in the place of the whole configuration',
+      'Replace the whole configuration with a file',
       (options) =>
         withStore(options, context.defaultStore)
           .positional('file', { type: 'string', demandOption: true })
@@ -71,7 +71,7 @@
           .option('wait', {
             type: 'boolean',
             default: false,
-            describe: 'Until in force everywhere',
+            describe: 'Wait until in force on all nodes',
           })
           .option('timeout', { type: 'number', default: DEFAULT_WAIT_SECONDS }),
       ({ file, expect, wait, timeout, ...rest }) =>
@@ -87,7 +87,7 @@
     )
     .command(
       'diff <file>',
-      'Print what a file would change',
+      'Print the changes that applying a file would make',
       (options) =>
         withStore(options, context.defaultStore).positional('file', {
           type: 'string',
@@ -97,7 +97,7 @@
     )
     .command(
       'status',
-      'Print the version that each node has in force, and who is behind',
+      'Print the version that each node has in force, and the nodes that are behind',
       (options) => withStore(options, context.defaultStore),
       (options) => run(options, status),
     )
@@ -119,8 +119,8 @@
           .positional('host', { type: 'string', demandOption: true })
           .positional('path', { type: 'string', demandOption: true })
           .option('method', { type: 'string', default: 'GET' })
-          .option('zone', { type: 'string', default: '', describe: 'Where the request begins' })
-          .option('tenant', { type: 'string', describe: 'Tenant whose key it carries' })
+          .option('zone', { type: 'string', default: '', describe: 'Zone of the client' })
+          .option('tenant', { type: 'string', describe: 'Tenant whose key the request has' })
           .option('header', { type: 'string', array: true, default: [] as string[] }),
       ({ host, path, method, zone, tenant, header, ...rest }) =>
         run(rest, (command) =>
@@ -135,7 +135,7 @@
     )
     .command(
       'lift <fingerprint>',
-      'End a quarantine: its request runs once alone, and is served if that ends well',
+      'End a quarantine: the request runs once alone, and is served if that run completes',
       (options) =>
         withStore(options, context.defaultStore).positional('fingerprint', {
           type: 'string',
@@ -154,7 +154,7 @@
     )
     .command(
       'tenant <action> [name]',
-      'Print the tenants with their limits (list), or one and what it has used of late (show)',
+      'Print the tenants with their limits (list), or one with its recent usage (show)',
       (options) =>
         withStore(options, context.defaultStore)
           .positional('action', { choices: ['list', 'show'] as const, demandOption: true })
@@ -164,13 +164,13 @@
           action === 'list' ? listTenants(command) : showTenant(command, name ?? ''),
         ),
     )
-    .command('rollout', 'Order a roll-out, or see how it goes', (options) =>
+    .command('rollout', 'Order a roll-out, or print its state', (options) =>
       addRolloutCommands(withStore(options, context.defaultStore), run),
     );
   try {
     await parser.parseAsync();
   } catch {
-    // Said by `fail`.
+    // The handler given to `fail` has printed the error.
     return ExitCode.Usage;
   }
   return code;
@@ -185,9 +185,9 @@
   });
 }
 
-function headersOf(texts: readonly string[]): Record<string, string> {
+function headersOf(lines: readonly string[]): Record<string, string> {
   return Object.fromEntries(
-    texts.map((text) => {
+    lines.map((text) => {
       const [name = '', ...value] = text.split(':');
       return [name.trim().toLowerCase(), value.join(':').trim()];
     }),
--- a/src/cli/secretCommands.ts
+++ b/src/cli/secretCommands.ts
@@ -1,4 +1,4 @@
-/** The command about secrets: a configuration names them by their digests. */
+/** The command `secret`. A configuration refers to a secret by its digest. */
 import { readFileSync } from 'node:fs';
 import { secretDigest } from '../routing/configurationDependencies.js';
 import { SECRET_KIND, type SecretObject } from '../source/dependencyLoader.js';
@@ -8,7 +8,7 @@
 import { reportUnavailable } from './failures.js';
 import { reportWrite } from './writeReport.js';
 
-/** Writes the value of a secret and prints the digest by which a configuration names it. */
+/** Writes the value of a secret and prints the digest to use in a configuration. */
 export async function putSecret(
   { store, output }: CommandContext,
   name: string,
@@ -19,9 +19,9 @@
   if (!listed.ok) {
     return reportUnavailable(listed.failure, output);
   }
-  const known = listed.value.items.find((item) => item.name === name);
-  const result = known
-    ? await store.replace<SecretObject>(SECRET_KIND, { ...known, spec: { value } })
+  const existing = listed.value.items.find((item) => item.name === name);
+  const result = existing
+    ? await store.replace<SecretObject>(SECRET_KIND, { ...existing, spec: { value } })
     : await store.create<SecretObject>(SECRET_KIND, name, { value });
   if (!result.ok) {
     return result.failure === 'conflict'
--- a/src/cli/storedConfiguration.ts
+++ b/src/cli/storedConfiguration.ts
@@ -1,4 +1,4 @@
-/** The one whole configuration in the store, as an operator reads and replaces it. */
+/** Reads and replaces the configuration in the store. */
 import { setTimeout as delay } from 'node:timers/promises';
 import { isDeepStrictEqual } from 'node:util';
 import { checkMeshConfiguration, type MeshConfiguration } from '../routing/mesh-configuration.js';
@@ -11,15 +11,16 @@
 import { mayBeLost } from '../source/storeRevision.js';
 import type { OperatorPlatform } from './operatorPlatform.js';
 
-/** Attempts to learn what became of a write whose answer was lost, and the pause between them. */
+/** Number of attempts of a write whose result is unknown. */
 const MAX_WRITES = 6;
+
+/** Pause between two attempts, in milliseconds. */
 const WRITE_RETRY_MS = 400;
 
-/** What is in the store. */
 export interface StoredConfiguration {
   readonly object: StoredObject<unknown>;
   readonly version: number;
-  /** Undefined if it does not pass this program's checks. */
+  /** Undefined if the stored configuration does not pass this program's checks. */
   readonly configuration: MeshConfiguration | undefined;
 }
 
@@ -27,13 +28,13 @@
   | { readonly kind: 'read'; readonly stored: StoredConfiguration | undefined }
   | { readonly kind: 'unavailable'; readonly failure: StoreFailure };
 
-/** What became of a change. */
+/** Result of a write. */
 export type WriteResult =
   | { readonly kind: 'accepted'; readonly version: number; readonly object: StoredObject<unknown> }
   | { readonly kind: 'conflict'; readonly version: number | undefined }
   | { readonly kind: 'rejected' | 'unavailable' | 'unknown'; readonly failure: StoreFailure };
 
-/** Reads the configuration that the store holds now. */
+/** Reads the current configuration from the store. */
 export async function readStored(
   store: ObjectStore,
   platform: OperatorPlatform,
@@ -52,10 +53,11 @@
 }
 
 /**
- * Puts a configuration in the place of `base`, under a version above that and above all that nodes hold: a store
- * that has come back from a copy may hold an older one, and no node goes back. The write is conditional on
- * what was read, so it may be repeated until it is known what became of it: a second one that meets
- * the first finds exactly its own content there.
+ * Replaces `base` with a configuration with a new version, greater than that of `base` and than
+ * `newestHeld`, the newest version that nodes hold: a store that has been restored from a copy may
+ * hold an older version, and nodes do not go back to one. The write is conditional on the revision
+ * of `base`, so it can be repeated until its result is known: if an earlier attempt has succeeded,
+ * the next one is a conflict, and the store holds exactly the content that was written.
  */
 export async function replaceStored(
   store: ObjectStore,
@@ -75,11 +77,11 @@
       return { kind: 'accepted', version, object: result.value };
     }
     if (result.failure === 'conflict' || result.failure === 'not-found') {
-      return whoWon(store, platform, spec, version);
+      return resolveConflict(store, platform, spec, version);
     }
     if (result.failure !== 'unknown') {
-      const isRefused = result.failure === 'rejected';
-      return { kind: isRefused ? 'rejected' : 'unavailable', failure: result.failure };
+      const isRejected = result.failure === 'rejected';
+      return { kind: isRejected ? 'rejected' : 'unavailable', failure: result.failure };
     }
     if (attempt >= MAX_WRITES) {
       return { kind: 'unknown', failure: result.failure };
@@ -88,33 +90,36 @@
   }
 }
 
-async function whoWon(
+async function resolveConflict(
   store: ObjectStore,
   platform: OperatorPlatform,
   spec: unknown,
   version: number,
 ): Promise<WriteResult> {
-  const now = await readStored(store, platform);
-  if (now.kind === 'unavailable') {
-    return { kind: 'unknown', failure: now.failure };
+  const current = await readStored(store, platform);
+  if (current.kind === 'unavailable') {
+    return { kind: 'unknown', failure: current.failure };
   }
-  const { stored } = now;
-  return stored && isSpec(stored, spec)
+  const { stored } = current;
+  return stored && hasSpec(stored, spec)
     ? { kind: 'accepted', version, object: stored.object }
     : { kind: 'conflict', version: stored?.version };
 }
 
-function isSpec({ object }: StoredConfiguration, spec: unknown): boolean {
+function hasSpec({ object }: StoredConfiguration, spec: unknown): boolean {
   return isDeepStrictEqual(object.spec, JSON.parse(JSON.stringify(spec)));
 }
 
-/** True if the store has come back from a copy since a write, and holds something else. */
+/**
+ * True if the store holds no configuration, or has been restored from a copy since `written` and
+ * holds another one.
+ */
 export function isLost(
   stored: StoredConfiguration | undefined,
   written: StoredObject<unknown>,
 ): boolean {
   return (
     !stored ||
-    (mayBeLost(written.revision, stored.object.revision) && !isSpec(stored, written.spec))
+    (mayBeLost(written.revision, stored.object.revision) && !hasSpec(stored, written.spec))
   );
 }
--- a/src/cli/tenantCommands.ts
+++ b/src/cli/tenantCommands.ts
@@ -1,4 +1,4 @@
-/** Commands about tenants. Of keys they show digests' first digits only. */
+/** Commands about tenants. Of an API key they print only the first digits of its digest. */
 import { keyDigest } from '../tenants/keyring.js';
 import type { MeshTenant } from '../tenants/tenant.js';
 import { USAGE_WINDOW_MS } from '../tenants/tenantUsage.js';
@@ -11,28 +11,30 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A tenant as it is shown. */
+/** A tenant as it is printed, with key digests instead of API keys. */
 interface ShownTenant extends Omit<MeshTenant, 'apiKeys'> {
   readonly keys: readonly string[];
 }
 
-/** What a tenant has used of late over all nodes that answer. */
+/** Recent usage of a tenant, summed over all nodes that answer. */
 interface FleetUse {
   readonly windowMs: number;
-  /** Requests a second that its limit did not refuse, and that it refused. */
+  /** Requests a second that the tenant's limit admitted. */
   readonly admittedPerS: number;
+  /** Requests a second that the tenant's limit refused. */
   readonly refusedPerS: number;
-  /** Nodes that have answered, and those that the store names besides. */
+  /** Number of nodes that have answered. */
   readonly nodes: number;
+  /** Names of the other nodes in the store. */
   readonly outOfReach: readonly string[];
 }
 
-/** Prints the tenants of the configuration that the store holds. */
+/** Prints the tenants of the stored configuration. */
 export function listTenants(context: CommandContext): Promise<ExitCode> {
   return withTenants(context, (tenants, version) => show(context, tenants, version));
 }
 
-/** Prints one of them, and what it has used of its limit over the fleet. */
+/** Prints one tenant and its recent usage over all nodes. */
 export function showTenant(context: CommandContext, name: string): Promise<ExitCode> {
   return withTenants(context, async (tenants, version) => {
     const found = tenants.filter((tenant) => tenant.name === name);
@@ -44,18 +46,18 @@
     if ('failure' in listed) {
       return reportUnavailable(listed.failure, context.output);
     }
-    const uses = await readTenantUses(listed.records);
+    const usages = await readTenantUses(listed.records);
     const sumOf = (kind: 'admitted' | 'refused'): number =>
-      uses
-        .flatMap((each) => each?.filter((use) => use.name === name) ?? [])
+      usages
+        .flatMap((usage) => usage?.filter((use) => use.name === name) ?? [])
         .reduce((sum, use) => sum + use[kind], 0);
     const perS = (count: number): number => (count * MILLISECONDS_PER_SECOND) / USAGE_WINDOW_MS;
     return show(context, found, version, {
       windowMs: USAGE_WINDOW_MS,
       admittedPerS: perS(sumOf('admitted')),
       refusedPerS: perS(sumOf('refused')),
-      nodes: uses.filter((each) => each !== undefined).length,
-      outOfReach: listed.records.filter((_, index) => !uses[index]).map(({ node }) => node),
+      nodes: usages.filter((usage) => usage !== undefined).length,
+      outOfReach: listed.records.filter((_, index) => !usages[index]).map(({ node }) => node),
     });
   });
 }
@@ -103,9 +105,9 @@
 
 function describeUse({ windowMs, admittedPerS, refusedPerS, nodes, outOfReach }: FleetUse): string {
   const window = `${windowMs / MILLISECONDS_PER_SECOND} s`;
-  const missing = outOfReach.length > 0 ? `; out of reach: ${outOfReach.join(', ')}` : '';
+  const missing = outOfReach.length > 0 ? `; unreachable: ${outOfReach.join(', ')}` : '';
   return (
-    `In the last ${window}: ${admittedPerS}/s let through, ${refusedPerS}/s over the limit, ` +
-    `as ${nodes} nodes say${missing}.`
+    `In the last ${window}: ${admittedPerS}/s admitted, ${refusedPerS}/s refused by the limit, ` +
+    `as reported by ${nodes} nodes${missing}.`
   );
 }
--- a/src/cli/writeReport.ts
+++ b/src/cli/writeReport.ts
@@ -1,9 +1,9 @@
-/** What became of a write to the store, as an operator is told. */
+/** Prints the result of a write to the configuration. */
 import { ExitCode } from './exitCode.js';
 import type { Output } from './output.js';
 import type { WriteResult } from './storedConfiguration.js';
 
-/** Prints it and gives the program's exit code. */
+/** Prints the result and returns the exit code of the program. */
 export function reportWrite(result: WriteResult, output: Output): ExitCode {
   const { kind } = result;
   const printed = kind === 'accepted' ? { kind, version: result.version } : result;
@@ -28,12 +28,12 @@
       return `Accepted as version ${result.version}.`;
     case 'conflict':
       return (
-        `Somebody else has changed it: the store is at version ${result.version ?? '?'}. ` +
+        `Another writer has changed it: the store holds version ${result.version ?? '?'}. ` +
         'Nothing was written.'
       );
     case 'unknown':
-      return 'It is not known whether the change was written: apply the same file again.';
+      return 'It is unknown whether the change was written: apply the same file again.';
     default:
-      return `Not written: the store says ${result.failure}.`;
+      return `Nothing was written: the store reported ${result.failure}.`;
   }
 }
