--- a/src/codec/frame.ts
+++ b/src/codec/frame.ts
@@ -11,7 +11,7 @@
 
 const codec = new Encoder({ useRecords: false, variableMapSize: true });
 
-/** Encodes a value as CBOR without a length, for datagrams. */
+/** Encodes a value as CBOR without a length, for content that is framed elsewhere or hashed. */
 export function encodeValue(value: unknown): Buffer {
   return codec.encode(value);
 }
