--- a/src/model/clock.ts
+++ b/src/model/clock.ts
@@ -1,4 +1,7 @@
-/** The steady clock, which never jumps. Durations, ages and deadlines use no other clock. */
+/**
+ * The interface of the clocks for durations, ages and deadlines, and the steady clock of the
+ * process, which never jumps. The clocks of `nodeClocks.ts` also count the time of a suspension.
+ */
 
 /** Returns a steady time in milliseconds, from an arbitrary starting point. */
 export interface Clock {
--- a/src/model/finding.ts
+++ b/src/model/finding.ts
@@ -1,6 +1,6 @@
 /**
  * Findings: all problems of an input, each with its location, collected and
- * reported together (brief, "House style").
+ * reported together.
  */
 
 /** One problem in an input. */
--- a/src/model/nodeClocks.ts
+++ b/src/model/nodeClocks.ts
@@ -56,8 +56,8 @@
 
 /**
  * The uptime is considered reliable after it has moved like the steady clock for this time, within
- * this tolerance, in milliseconds. It has a resolution of 10, and on a simulated machine it may be
- * the uptime of another machine.
+ * this tolerance, in milliseconds. The uptime has a resolution of 10 milliseconds, and on a
+ * simulated machine it may be the uptime of another machine.
  */
 const RELIABLE_AFTER_MS = 5_000;
 const TOLERANCE_MS = 30;
@@ -69,8 +69,9 @@
   /** Reads the uptime if the interval has passed since the last reading. */
   update(at: number): void;
   /**
-   * Returns how much more than the steady clock the uptime has moved since the last reading, in
-   * milliseconds, and takes the current difference between them as the new reference.
+   * Returns how much more than the steady clock the uptime has moved since the reference was set,
+   * in milliseconds, and takes the current difference between them as the new reference. `update`
+   * sets the reference only when the difference has moved beyond the tolerance.
    */
   measureJumpMs(at: number): number;
 }
