--- a/src/source/collection-watcher.ts
+++ b/src/source/collection-watcher.ts
@@ -1,6 +1,6 @@
 /**
  * Follows one kind of stored object: lists it once, then watches it. If the
- * store no longer has the history after a revision (410), the watcher lists
+ * store no longer has the history after a revision (HTTP status 410), the watcher lists
  * again. Failed calls are retried with a jittered backoff, so that many nodes
  * that reconnect at the same time do not overload the store.
  */
@@ -23,7 +23,10 @@
    * operation that was answered, or the failure; `cause` is a free-text description of the failure.
    */
   onConnected(connected: boolean, detail: string, cause?: string): void;
-  /** The objects and changes passed on so far match the store's current state. */
+  /**
+   * Called for each successful response of the store, before the objects or changes in it are
+   * passed on. Also called for a first list, which may be stale.
+   */
   onUpToDate?(): void;
 }
 
@@ -42,7 +45,10 @@
 }
 
 const FIRST_BACKOFF_MS = 150;
-/** With a jitter of up to half, the watcher retries a store that is back within 1.5 s. */
+/**
+ * With a jitter of up to half, the longest pause is 1.5 s, so a store that is back is called again
+ * within that time.
+ */
 const LONGEST_BACKOFF_MS = 1_000;
 const BACKOFF_FACTOR = 2;
 
@@ -91,7 +97,7 @@
     private readonly random: () => number = Math.random,
   ) {}
 
-  /** True if the last call to the store was answered. */
+  /** True if the last call was answered; a failed {@link refresh} does not count. */
   get isConnected(): boolean {
     return this.connected === true;
   }
@@ -117,8 +123,9 @@
   }
 
   /**
-   * Lists at once, while a watch may be waiting, because another node has announced something
-   * newer. Returns false if the list failed.
+   * Lists at once, even while a watch is waiting, for example because another node has announced
+   * something newer. Returns false if the list failed; true without a list if a refresh is in
+   * progress or the watcher is stopped.
    */
   async refresh(): Promise<boolean> {
     if (this.isRefreshing || this.stopped) {
@@ -236,7 +243,10 @@
     }
   }
 
-  /** Counts the duration of the failed call as part of the backoff: a timed-out call has waited. */
+  /**
+   * Returns the pause before a retry. The duration of the failed call counts as part of the
+   * backoff, because a call that timed out has already used up part of it.
+   */
   private nextBackoff(tookMs: number): number {
     const current = Math.max(this.backoffMs - tookMs, FIRST_BACKOFF_MS);
     this.backoffMs = Math.min(this.backoffMs * BACKOFF_FACTOR, LONGEST_BACKOFF_MS);
--- a/src/source/configuration-follower.ts
+++ b/src/source/configuration-follower.ts
@@ -15,7 +15,7 @@
 
 /**
  * Longest time for which the store holds one watch open, in milliseconds. It can be long because a
- * store that is out of reach is detected by other means.
+ * store that is out of reach is detected by the relay (see `src/relay`).
  */
 const WAIT_MS = 12_000;
 
@@ -39,8 +39,9 @@
 
 /**
  * Share of the apply deadline after which the version in force may be stale if nothing has
- * confirmed it. The reader of a follower answers within 0.3 of the deadline, and its last contact
- * with the store was at most 0.5 of the deadline earlier.
+ * confirmed it. If the node reads through a reader of its zone, the reader answers within 0.3 of
+ * the deadline, and the reader's last contact with the store was at most 0.5 of the deadline
+ * earlier.
  */
 const CURRENT_SHARE = 0.8;
 
@@ -77,9 +78,9 @@
   readonly onConnected: CollectionHandler<unknown>['onConnected'];
   readonly onApplied: (routes: RouteMatcher, origin: string) => void;
   readonly onRejected: (version: number, origin: string, findings: readonly Finding[]) => void;
-  /** A version cannot come into force until its policies or secrets are loaded. */
+  /** Called when a version cannot come into force until its policies or secrets are loaded. */
   readonly onDependenciesMissing: (version: number, shortage: MissingDependencies) => void;
-  /** The stored configuration of this revision cannot be decoded. */
+  /** Called when the stored configuration of this revision cannot be decoded. */
   readonly onUnreadable: (revision: number) => void;
   readonly dependencyLoader: DependencyLoader;
 }
@@ -182,7 +183,10 @@
     this.watcher.stop();
   }
 
-  /** For a newer announced version, asks the store first and the announcing node soon after. */
+  /**
+   * For a newer announced version, waits for this node's watch, then lists, then asks the
+   * announcing node; asks that node at once if the store does not answer.
+   */
   noteVersion(address: string, version: number): void {
     this.newestAnnouncedVersion = Math.max(this.newestAnnouncedVersion, version);
     if (version > this.version && version > this.fetchingVersion) {
@@ -240,7 +244,7 @@
     }
   }
 
-  /** True if another node's newer version is in force, or will be with its policies and secrets. */
+  /** True if another node's newer version is in force, or will be with its dependencies loaded. */
   private async applyNewerFromPeer(version: number): Promise<boolean> {
     const peerVersions = (await this.options.fetchPeerVersions?.()) ?? [];
     const [newest] = peerVersions.toSorted((left, right) => right.version - left.version);
@@ -272,7 +276,7 @@
     }
   }
 
-  /** Loads missing policies and secrets and reapplies until in force, rejected or outdated. */
+  /** Loads dependencies and reapplies the version until in force, rejected, outdated or stopped. */
   private async loadAndApply(candidate: ConfigurationCandidate, origin: string): Promise<void> {
     const { dependencyLoader } = this.options;
     let hasLoaded = false;
--- a/src/source/configuration-holder.ts
+++ b/src/source/configuration-holder.ts
@@ -56,31 +56,31 @@
   /** Puts a candidate into force if it is newer than the version in force, complete and valid. */
   apply(
     candidate: ConfigurationCandidate,
-    supplies: AvailableDependencies = NO_SUPPLIES,
+    available: AvailableDependencies = NO_DEPENDENCIES,
   ): ApplyResult {
     if (!(candidate.version > Math.max(this.version, this.rejectedVersion))) {
       return { kind: 'not-newer' };
     }
     return this.check(candidate.candidate).caseOf<ApplyResult>({
       Left: (findings) => this.reject(candidate.version, findings),
-      Right: (configuration) => this.complete(candidate, configuration, supplies),
+      Right: (configuration) => this.applyChecked(candidate, configuration, available),
     });
   }
 
-  private complete(
+  private applyChecked(
     candidate: ConfigurationCandidate,
     configuration: MeshConfiguration,
-    supplies: AvailableDependencies,
+    available: AvailableDependencies,
   ): ApplyResult {
     const { version } = candidate;
-    const completion = resolveDependencies(configuration, supplies);
-    switch (completion.kind) {
+    const resolved = resolveDependencies(configuration, available);
+    switch (resolved.kind) {
       case 'short':
-        return { kind: 'short', version, shortage: completion.shortage };
+        return { kind: 'short', version, shortage: resolved.shortage };
       case 'faulty':
-        return this.reject(version, completion.findings);
+        return this.reject(version, resolved.findings);
       default:
-        this.matcher = new RouteMatcher(configuration, this.matcher, completion.complements);
+        this.matcher = new RouteMatcher(configuration, this.matcher, resolved.complements);
         this.inForce = candidate;
         return { kind: 'in-force', version };
     }
@@ -92,4 +92,4 @@
   }
 }
 
-const NO_SUPPLIES: AvailableDependencies = { compilePolicy: undefined, secrets: new Map() };
+const NO_DEPENDENCIES: AvailableDependencies = { compilePolicy: undefined, secrets: new Map() };
--- a/src/source/eraGuard.ts
+++ b/src/source/eraGuard.ts
@@ -1,17 +1,18 @@
 /**
- * Protects a node against a store that has been restored from a copy: revisions of an earlier era
- * are never used in the current one. The restored store uses the same revisions again. It may
- * therefore accept a watch from an old revision and miss the changes below it, and a conditional
- * write with an old revision may change a different object.
+ * Protects a node against a store that has been restored from a copy, which begins a new era (see
+ * `storeRevision.ts`): revisions of an earlier era are never used in the current one. The restored
+ * store uses the same revisions again. It may therefore accept a watch from an old revision and
+ * miss the changes with lower revisions, and a conditional write with an old revision may change a
+ * different object.
  */
 import type { Clock } from '../model/clock.js';
 import type { ObjectStore, StoreError, StoreResult } from './object-store.js';
 import { eraOf } from './storeRevision.js';
 
 /**
- * For this time after an answer, in milliseconds, the store is assumed to be in the same era: it
- * has to be away before it can be restored. After that time, a probe precedes each conditional
- * write. It costs a tenth of the write, and such writes are rare.
+ * For this time after a successful call, in milliseconds, the store is assumed to be in the same
+ * era: it must stop answering before it can be restored. After that time, a probe precedes each
+ * conditional write. The probe costs a tenth of the write, and such writes are rare.
  */
 const SAME_ERA_MS = 500;
 
@@ -44,7 +45,8 @@
   readonly clock: Clock;
   readonly store: ObjectStore;
   /**
-   * The store has been restored from a copy. Not called for the first era that the store reports.
+   * Called when the store has been restored from a copy. Not called for the first era that the
+   * store reports.
    */
   readonly onEraIncrease?: (era: number, previousEra: number) => void;
 }
