--- a/src/directory/announcementBroadcast.ts
+++ b/src/directory/announcementBroadcast.ts
@@ -20,7 +20,7 @@
  */
 const RELAYS_PER_OTHER_ZONE = 2;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface AnnouncementBroadcastContext {
   readonly directory: OwnerDirectory;
   readonly caller: PeerClient;
--- a/src/directory/crashRecords.ts
+++ b/src/directory/crashRecords.ts
@@ -21,7 +21,7 @@
 /** Number of removed records whose names are kept, to remove them again if they are restored. */
 const MAX_REMOVED = 1_000;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface CrashRecordsContext {
   readonly store: ObjectStore;
   readonly repairs: StaggeredRepairs;
--- a/src/directory/directory-sync.ts
+++ b/src/directory/directory-sync.ts
@@ -32,7 +32,7 @@
 /** Timeout in milliseconds of fetching the list of owners from another node. */
 const DIRECTORY_TIMEOUT_MS = 1_000;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface DirectorySyncOptions {
   readonly clock: Clock;
   readonly store: ObjectStore;
@@ -162,7 +162,10 @@
     }
   }
 
-  /** Adds the owners in another node's list; the store's list replaces them once it arrives. */
+  /**
+   * Adds the owners in another node's list. Once the store's list arrives, the owners that it lacks
+   * are probed, and removed if they do not answer.
+   */
   private async fetchOwnersFromPeer(address: string): Promise<void> {
     const bytes = await this.options.caller.directory(address, DIRECTORY_TIMEOUT_MS);
     const records = bytes && readOwnerRecords(bytes);
@@ -283,8 +286,8 @@
 }
 
 /**
- * True for the last record of a node that has left for good, also when the store returns it as the
- * last content of a removed object.
+ * True if the object's content is the last record of a node that has left for good. The store may
+ * also return that content with the removal of the object.
  */
 function hasLeft({ spec }: StoredObject<OwnerRecord>): boolean {
   return isOwnerRecord(spec) && spec.hasLeft === true;
--- a/src/directory/missingOwners.ts
+++ b/src/directory/missingOwners.ts
@@ -27,7 +27,7 @@
 
 export function createMissingOwners(context: MissingOwnersContext): MissingOwners {
   const { clock, isAlive, forget } = context;
-  /** Monotonic time in milliseconds of each owner's next probe. */
+  /** Steady time in milliseconds of each owner's next probe. */
   const nextProbeAt = new Map<string, number>();
   const probe = async (node: string): Promise<void> => {
     const isUp = await isAlive(node);
--- a/src/directory/ownRecord.ts
+++ b/src/directory/ownRecord.ts
@@ -1,4 +1,7 @@
-/** This node's own record in the store: written at the start and whenever the store's differs. */
+/**
+ * This node's own record in the store: written at the start, and whenever the record in the store
+ * differs from it.
+ */
 import { setTimeout as delay } from 'node:timers/promises';
 import type { ObjectStore, StoredObject } from '../source/object-store.js';
 import type { OwnerRecord } from './owner-entry.js';
@@ -6,7 +9,7 @@
 /** Mean delay in milliseconds before a failed write is retried; it varies by up to a half. */
 const PUBLISH_RETRY_MS = 400;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface OwnRecordContext {
   readonly store: ObjectStore;
   /** Kind of the records. */
--- a/src/directory/owner-directory.ts
+++ b/src/directory/owner-directory.ts
@@ -3,7 +3,10 @@
 import { rankNames } from '../model/rendezvous.js';
 import type { OwnerEntry, OwnerRecord } from './owner-entry.js';
 
-/** An owner's score varies by this share, so that nodes do not all choose the same one. */
+/**
+ * An owner's expected time is raised by a random share of up to this, so that nodes do not all
+ * choose the same owner.
+ */
 const SCORE_JITTER = 0.15;
 
 /**
@@ -40,7 +43,7 @@
 
 export type EntryFactory = (record: OwnerRecord) => OwnerEntry;
 
-/** Owned by the node. Every `now` is a monotonic time in milliseconds. */
+/** Owned by the node. Every `now` is a steady time in milliseconds. */
 export class OwnerDirectory {
   /** Rises with each owner that is added, changed or removed. */
   generation = 0;
@@ -109,7 +112,7 @@
     return this.byService.get(service) ?? [];
   }
 
-  /** The best available owner for a task that is not in `tried`; undefined if there is none. */
+  /** The best available owner for a task, except those in `tried`; undefined if there is none. */
   choose(
     criteria: OwnerCriteria,
     tried: ReadonlySet<OwnerEntry>,
@@ -202,7 +205,10 @@
     );
   }
 
-  /** Shortest remaining backoff of a service's present owners, in milliseconds; else infinity. */
+  /**
+   * Shortest remaining backoff of a service's owners, in milliseconds, except absent ones; infinity
+   * if all are absent.
+   */
   backoffMs(service: string, now: number): number {
     const backoffs = this.ownersOf(service)
       .filter((entry) => !entry.absenceReason)
--- a/src/directory/owner-entry.ts
+++ b/src/directory/owner-entry.ts
@@ -34,18 +34,18 @@
 /** An owner whose back end fails this share of its tasks is chosen after the others. */
 const FAILING_SHARE = 0.2;
 
-/** Upper limit of the failure share in the expected time, which it would make infinite at 1. */
+/** Upper limit of the failure share in the expected time: a share of 1 would make it infinite. */
 const MAX_FAILURE_SHARE = 0.9;
 
 /** Number of slots assumed until an owner has reported. */
 const DEFAULT_SLOTS = 4;
 
-/** Owned by the directory. Every `now` is a monotonic time in milliseconds. */
+/** Owned by the directory. Every `now` is a steady time in milliseconds. */
 export class OwnerEntry {
   /** Tasks that this node has sent to the owner and that are not finished. */
   outstanding = 0;
   absenceReason: AbsenceReason | undefined;
-  /** Monotonic time in milliseconds of the next probe while the owner is absent. */
+  /** Steady time in milliseconds of the next probe while the owner is absent. */
   probeAt = 0;
   /** Unsuccessful probes since the owner became absent. */
   failedProbes = 0;
@@ -69,8 +69,9 @@
   }
 
   /**
-   * True if a task of this priority may be offered. During a backoff, that is a task more urgent
-   * (of a lower number) than the rejected one.
+   * True if a task of this priority may be offered. During a backoff, only a task with a lower
+   * priority number (more urgent) than the rejected task may be. The owner on this node first
+   * applies its current report.
    */
   isAvailable(priority: number, now: number): boolean {
     if (this.absenceReason) {
@@ -94,7 +95,7 @@
     return this.report?.slots || DEFAULT_SLOTS;
   }
 
-  /** Estimated number of tasks at the owner: this node's, and others' by the last report. */
+  /** Estimated number of tasks at the owner: of this node, and of others by the last report. */
   load(now: number): number {
     if (!this.report) {
       return this.outstanding;
@@ -133,7 +134,7 @@
     return this.report?.meanServiceMs;
   }
 
-  /** Applies a report of the owner; one that is ready for its service ends the absence. */
+  /** Applies a report; if the back end is ready for the record's service, the absence ends. */
   noteReport(report: PeerReport, now: number): void {
     this.noteLoad(report, now);
     if (report.ready && report.service === this.record.service) {
@@ -184,7 +185,7 @@
     this.absenceReason = absence;
   }
 
-  /** Releases the owner's resources; called when the entry is removed. */
+  /** Releases the owner's resources; called when the owner is removed, not when it is replaced. */
   close(): void {
     this.owner.close?.();
   }
--- a/src/directory/ownerNotifier.ts
+++ b/src/directory/ownerNotifier.ts
@@ -24,7 +24,7 @@
 /** Timeout in milliseconds of sending a message to an owner. */
 const SEND_TIMEOUT_MS = 500;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface OwnerNotifierContext {
   readonly clock: Clock;
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
--- a/src/directory/quarantineSync.ts
+++ b/src/directory/quarantineSync.ts
@@ -1,8 +1,8 @@
 /**
  * Synchronises the crash trackers of all nodes. Announcements go from node to node at once, even
- * while the store is down. Crashes under suspects are written to the store as well: for nodes that
- * start later, also after a power loss of all nodes, and for operators, who lift a quarantine by
- * removing its crash record.
+ * while the store is down. Crashes of a back end while it ran suspect requests are also written to
+ * the store. Nodes that start later read them there, even after a power loss of all nodes, and
+ * operators lift a quarantine by removing its crash record.
  */
 import type { Clock } from '../model/clock.js';
 import { rankNames } from '../model/rendezvous.js';
@@ -33,7 +33,7 @@
 /** Change of a quarantine at this node, for the log. */
 export type QuarantineChange = 'begun' | 'lifted' | 'cleared';
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface QuarantineSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
@@ -51,7 +51,8 @@
     crashes: number,
   ) => void;
   /**
-   * Called for a crash record (with its name) or an announcement (as `news`) that is not valid.
+   * Called for a crash record or an announcement that is not valid. `name` is the record's name;
+   * `news` for an announcement.
    * `origin` is `store` or the address of the node that has sent the announcement.
    */
   readonly onUnreadable: (name: string, origin: string) => void;
@@ -111,7 +112,7 @@
   const removeQuarantineOf = ({ fingerprint, caller: service }: RequestKey): void => {
     for (const [name, { quarantined }] of records.all()) {
       if (quarantined.some((key) => key.fingerprint === fingerprint && key.caller === service)) {
-        // If the removal fails, the next cleanup removes the record.
+        // If the removal fails, the next cleanup on the node first by rank removes the record.
         records.remove(name);
       }
     }
@@ -155,7 +156,8 @@
       broadcast.publish(AnnouncementTopic.Crashes, encodeCrashAnnouncement(announcement));
       reportQuarantines(announcement.quarantined, 'own');
       if (announcement.incarnation !== undefined) {
-        // First crashes are not written: most of the requests in flight soon run to their end.
+        // Requests with fewer than SUSPECT_CRASHES crashes are not written: most of the requests in
+        // flight at a crash soon run to their end.
         void records.write(announcement.incarnation, {
           suspects: suspectRequests(announcement.suspects),
           quarantined: suspectRequests(announcement.quarantined),
--- a/src/directory/rolloutController.ts
+++ b/src/directory/rolloutController.ts
@@ -37,24 +37,26 @@
 import { decisionLogFields } from './rolloutLog.js';
 import type { RolloutStatusWriter, RolloutStatusWriterContext } from './rolloutStatusWriter.js';
 
-/** Interval in milliseconds at which a leased phase is published again, before it expires. */
+/** Interval in milliseconds at which Halt, or a leased phase before it expires, is republished. */
 const LEASE_RENEWAL_MS = 500;
 /** Interval in milliseconds for any other phase, to show that the leader is up. */
 const PHASE_RENEWAL_MS = 2_000;
-
-/** Interval in milliseconds for the same phase if the plan or the owners' versions have changed. */
+/** Milliseconds for a phase, not leased nor Halt, whose plan or known versions have changed. */
 const CHANGE_RENEWAL_MS = 500;
 
 /** Milliseconds a node counts as leader after publishing a phase; a leader republishes sooner. */
 const LEADERSHIP_MS = 2_500;
 
-/** A plan counts as changed if a share has changed by more than this factor. */
+/** A plan also counts as changed if a share has changed by more than this factor. */
 const SHARE_FACTOR = 1.5;
 
 /** Assumed duration of a write to the store before the first one, in milliseconds. */
 const DEFAULT_STORE_MS = 100;
 
-/** Shortest time between decisions, in milliseconds: reports that arrive together share one. */
+/**
+ * Shortest time in milliseconds from a decision to one that a report causes: reports that arrive
+ * together share one. Also the interval for a leased phase whose plan or versions have changed.
+ */
 const MIN_STEP_MS = 50;
 
 /** A change of a roll-out, for the log. */
@@ -85,7 +87,7 @@
   /** Called when `node` has published a phase of the service's roll-out. */
   noteLeader(service: string, node: string): void;
   noteResigned(service: string, node: string): void;
-  /** Leader: republishes owners' versions once, since the removed order's now gets no requests. */
+  /** The leader publishes the versions once more, since the removed order's gets no requests. */
   noteRemoved(order: RolloutOrder): void;
   /** Called after each attempt to write a status. */
   noteWritten: RolloutStatusWriterContext['onWritten'];
@@ -155,7 +157,7 @@
     broadcast.publish(AnnouncementTopic.Rollouts, encodeRolloutMessage(message));
   };
 
-  /** Hands over to another node, since the store rejects this one's writes. */
+  /** Lets another node lead, since the store throttled this node's write or was unavailable. */
   const resign = (service: string): void => {
     const { node } = own();
     const kind = RolloutMessageKind.Resignation;
@@ -205,7 +207,7 @@
       writer().write(order, RolloutState.RolledBack);
     }
     notifier.sendLimits(rollout, step, work.sentLimits);
-    // The other versions stay fenced until the completion is written.
+    // The other versions stay fenced (get no requests) until the completion is written.
     const isEnding = writer().pending(order.service) === RolloutState.Completed;
     const published = phase === RolloutPhase.Done || isEnding ? RolloutPhase.Shift : phase;
     if (published !== rollout.phase || clock.now() - work.publishedAt >= renewalMs(step, work)) {
@@ -265,7 +267,7 @@
     noteRemoved: (order) => {
       const work = workByService.get(order.service);
       if (work && election.isLeader(order.service)) {
-        // Watch gives the version the least on a node that has not yet read the removal.
+        // On a node that has not yet read the removal, Watch gives the version the smallest share.
         publishPhase(order, RolloutPhase.Watch);
       }
       workByService.delete(order.service);
--- a/src/directory/rolloutElection.ts
+++ b/src/directory/rolloutElection.ts
@@ -17,7 +17,7 @@
  */
 const RESIGNED_MS = 5_000;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface RolloutElectionContext {
   readonly clock: Clock;
   readonly directory: OwnerDirectory;
--- a/src/directory/rolloutOrders.ts
+++ b/src/directory/rolloutOrders.ts
@@ -1,7 +1,7 @@
 /**
- * The orders of roll-outs in the store. If the store is restored from a copy that lacks an order or
- * its status, the operator has not removed it. Such an order stays in force for some time, since
- * the operator writes it again; a lost status is written again by the nodes.
+ * The orders of roll-outs in the store. If an order or its status is missing because the store was
+ * restored from a copy, that is not a removal by the operator. Such an order stays in force for
+ * some time, since the operator writes it again; a lost status is written again by the nodes.
  */
 import type { Clock } from '../model/clock.js';
 import { createRecentNames } from '../model/recentNames.js';
@@ -20,7 +20,7 @@
 /** Number of replaced orders whose ids are kept. */
 const MAX_REPLACED = 100;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface RolloutOrdersContext {
   readonly clock: Clock;
   readonly rollouts: RolloutTracker;
@@ -35,14 +35,14 @@
 }
 
 export interface RolloutOrders {
-  /** The newest revision of an order's object that this node has read. */
+  /** The order's object as this node last read it; undefined if there is none or it is lost. */
   lastRead(service: string): StoredObject<unknown> | undefined;
   apply(object: StoredObject<unknown>): void;
   /** Called for an object that the store held at `seenRevision` and does not at `revision`. */
   noteAbsent(service: string, seenRevision: number, revision: number): void;
   /** Applies the complete list of the store's objects at a revision. */
   applyList(objects: readonly StoredObject<unknown>[], revision: number): void;
-  /** Has lost statuses written again; removes lost orders that were not written again in time. */
+  /** Schedules writes of lost statuses; removes lost orders that were not written again in time. */
   repairLost(): void;
 }
 
--- a/src/directory/rolloutReporter.ts
+++ b/src/directory/rolloutReporter.ts
@@ -51,7 +51,7 @@
   readonly load: number;
 }
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface RolloutReporterContext {
   readonly clock: Clock;
   readonly rollouts: RolloutTracker;
@@ -59,14 +59,17 @@
   readonly caller: Pick<PeerClient, 'sendAnnouncement'>;
   readonly own: () => OwnerRecord;
   readonly backEnd: () => LocalBackEnd;
-  /** True if all other owners of the service have reported the version. */
+  /**
+   * True if at least two owners of the service are up and all that are up have the version, by
+   * their own reports or the leader's announcements.
+   */
   readonly isSoleVersion: (service: string, version: string) => boolean;
   /** Receives the reports if this node is the leader. */
   readonly onLocalEvidence: (evidence: EvidenceReport) => void;
 }
 
 export interface RolloutReporter {
-  /** Records a request that this node's back end has ended. */
+  /** Records the outcome of a request to this node's back end. */
   recordRun(run: BackEndRun): void;
   /** Sends a report to the leader, if one is due. */
   report(rollout: RunningRollout): void;
@@ -198,9 +201,10 @@
 
   /**
    * The limiter of the target version's back end; undefined if no limit applies. A limit applies
-   * until the order's deadline, also after its completion: the bound covers only the last limit
-   * until then. An owner that first reads the order when it is completed has received no limit. An
-   * owner has none yet, either, if its version is the only one in service when the order arrives.
+   * until the order's age reaches `durationMs`, even after completion, because the exposure bound
+   * covers no more than the last limit until then. No limit applies to an owner that first reads
+   * the order when it is completed, nor, before the first limit arrives, to an owner whose version
+   * is the only one in service.
    */
   const limiterFor = (service: string, version: string | undefined): RunLimiter | undefined => {
     const view = rollouts.view(service);
--- a/src/directory/rolloutStatusWriter.ts
+++ b/src/directory/rolloutStatusWriter.ts
@@ -18,7 +18,7 @@
   readonly encodeStatus: (status: RolloutStatus) => unknown;
 }
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface RolloutStatusWriterContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
--- a/src/directory/rolloutSync.ts
+++ b/src/directory/rolloutSync.ts
@@ -2,9 +2,9 @@
  * This node's part in roll-outs: follows the orders in the store, reports the outcomes of its back
  * end's requests, and makes the decisions while it is the leader.
  *
- * The leader follows from the service's name and the nodes that are up. Two nodes may both act as
- * the leader; conditional writes keep that from doing harm. A new leader finds all it needs in the
- * store and in the owners' next reports.
+ * Each node computes the leader from the service's name and the nodes that are up. Two nodes may
+ * both act as the leader; conditional writes keep that from doing harm. A new leader finds all it
+ * needs in the store and in the owners' next reports.
  */
 
 import type { Clock } from '../model/clock.js';
@@ -36,13 +36,14 @@
 const TICK_MS = 125;
 
 /**
- * Longest wait of a watch in milliseconds, while an order runs and while none does. A node that
- * gets no answer for longer cannot be sure that the order is still in force.
+ * Longest wait of a watch in milliseconds, while an order runs and while none does. While an order
+ * runs, it is below `contactMs` (3 s by default): after that time without an answer of the store or
+ * an announcement of the leader, a node cannot be sure that the order is still in force.
  */
 const RUNNING_WAIT_MS = 1_000;
 const QUIET_WAIT_MS = 15_000;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface RolloutSyncContext {
   readonly clock: Clock;
   readonly store: ObjectStore;
@@ -62,7 +63,7 @@
   start(): void;
   stop(): void;
   readonly rollouts: RolloutTracker;
-  /** Records a request that this node's back end has ended. */
+  /** Records the outcome of a request to this node's back end. */
   recordRun(run: BackEndRun): void;
   /** A permit for one request to this node's back end; undefined if an order allows none now. */
   acquirePermit(): RunPermit | undefined;
@@ -128,7 +129,7 @@
     },
   });
 
-  /** False without other owners on record, since this node may have just started. */
+  /** False with fewer than two owners that are up, since this node may have just started. */
   const isSoleVersion = (service: string, version: string): boolean => {
     const up = directory.ownersOf(service).filter(({ absenceReason }) => !absenceReason);
     const versionOf = ({ record, backEndVersion }: OwnerEntry) =>
--- a/src/directory/staggeredRepairs.ts
+++ b/src/directory/staggeredRepairs.ts
@@ -11,7 +11,7 @@
  */
 export const STAGGER_MS = 700;
 
-/** Dependencies on the node. */
+/** Dependencies on the rest of the node. */
 export interface StaggeredRepairsContext {
   readonly own: () => string;
   /** Names of the nodes on record here. */
