--- a/src/peer/bodySender.ts
+++ b/src/peer/bodySender.ts
@@ -1,7 +1,7 @@
 /**
- * Sends a body in chunks and limits how many of them are in flight. A machine's link is one queue:
- * on a link of 3.5 Mbit/s, a body of 60 KB that is written at once delays every small message
- * behind it by 0.14 s, and the largest body delays them by 0.8 s.
+ * Sends a body in chunks and limits how many of them are in flight. All messages of a machine wait
+ * in one queue for its link: on a link of 3.5 Mbit/s, a body of 60 KB that is written at once
+ * delays every small message behind it by 0.14 s, and a body of 350 KB delays them by 0.8 s.
  */
 import type { MessageBody, StreamBody } from '../owner/message-body.js';
 import { type ChunkMessage, MAX_CHUNK_BYTES, MessageKind } from './peerMessages.js';
@@ -12,7 +12,9 @@
 /** Smallest chunk in bytes. The messages around a smaller one would cost as much as the chunk. */
 const MIN_CHUNK_BYTES = 4 * 1024;
 
-/** Least chunks in a window: one is in flight while the other is being acknowledged. */
+/**
+ * Smallest number of chunks in a window: one is in flight while the other is being acknowledged.
+ */
 const CHUNKS_PER_WINDOW = 2;
 
 const BITS_PER_BYTE = 8;
@@ -21,7 +23,7 @@
 /** How much of a body may be in flight. */
 export interface SendWindow {
   readonly chunkBytes: number;
-  /** Chunks that may be unacknowledged. */
+  /** Largest number of unacknowledged chunks. */
   readonly chunks: number;
 }
 
--- a/src/peer/livenessTimer.ts
+++ b/src/peer/livenessTimer.ts
@@ -23,8 +23,8 @@
   /** Called with the milliseconds that the owner took to respond to the offer or to a ping. */
   readonly onReply?: ((tookMs: number) => void) | undefined;
   /**
-   * Called when the offer or a ping has timed out; `isPeerActive` if other exchanges have received
-   * messages from the owner in the meantime.
+   * Called when the offer or a ping has timed out; `isPeerActive` is true if other exchanges have
+   * received messages from the owner in the meantime.
    */
   readonly onTimeout: (isPeerActive: boolean) => void;
 }
@@ -54,7 +54,7 @@
   const startTimer = (ms: number): void => {
     clearTimeout(timer);
     timer = setTimeout(() => {
-      // Reads data that arrived while this process was blocked before it counts as missing.
+      // Data that arrived while this process was blocked is read first, so that it is not missed.
       setImmediate(onExpired);
     }, ms);
   };
--- a/src/peer/peerClient.ts
+++ b/src/peer/peerClient.ts
@@ -1,6 +1,7 @@
 /**
  * Sends short requests to other nodes, each on a new connection: queries for their status, their
- * configuration, the owners they know and the use of quotas there, and announcements.
+ * configuration, the owners they know and the recent requests of tenants there, and
+ * announcements.
  */
 
 import net from 'node:net';
--- a/src/peer/peerCodec.ts
+++ b/src/peer/peerCodec.ts
@@ -1,6 +1,8 @@
 /**
  * Encodes and decodes the messages between nodes. Each message is one frame that holds a list: the
- * kind of the message, then its content in a fixed order. Content that is malformed is rejected.
+ * kind of the message, then its content in a fixed order. A message is rejected if a required field
+ * is malformed. A malformed optional field is read as absent or as its default, and a reason may be
+ * any string.
  */
 
 import { encodeFrame } from '../codec/frame.js';
--- a/src/peer/peerMessages.ts
+++ b/src/peer/peerMessages.ts
@@ -9,7 +9,7 @@
 import type { OwnerReport } from '../owner/owner-report.js';
 import type { StoreQuery } from '../source/object-store.js';
 
-/** The kind of a message. The values are numbers because every message contains one. */
+/** The kind of a message. The values are numbers to keep the messages short. */
 export enum MessageKind {
   /** Ingress to owner: a task, with or without its body. */
   Offer = 1,
@@ -23,7 +23,7 @@
   Read = 5,
   /** In either direction: acknowledges a chunk. */
   ChunkReceived = 6,
-  /** An announcement to all nodes; acknowledged with a pong. */
+  /** An announcement, to all nodes or to one; acknowledged with a pong. */
   News = 7,
   /** Requests tokens from a node that holds a part of a tenant's quota. */
   QuotaAsk = 8,
--- a/src/peer/peerServer.ts
+++ b/src/peer/peerServer.ts
@@ -30,8 +30,8 @@
 const MAX_BUFFERED_BODY_BYTES = 1024 * 1024;
 
 /**
- * Answer of a node that holds no part of a quota. The requester asks this node again after `dryMs`
- * milliseconds.
+ * Answer of a node that holds no part of a quota. `dryMs` is here the time in milliseconds after
+ * which the requester asks this node again.
  */
 const NO_QUOTA_PART = { granted: 0, dryMs: 250 };
 
--- a/src/peer/remoteRun.ts
+++ b/src/peer/remoteRun.ts
@@ -12,10 +12,10 @@
 const MAX_BUFFERED_ANSWER_BYTES = 256 * 1024;
 
 /**
- * An offer of a repeatable task contains the body if the node has sent any message within this
- * time, in milliseconds. A node without such recent contact may be down and gets the head alone: if
- * it does not respond, the task has certainly not run, and another attempt costs nothing of the
- * retry budget.
+ * An offer of a repeatable task contains a buffered body that fits into one message if the node has
+ * sent any message within this time, in milliseconds. A node without such recent contact may be
+ * down and gets the head alone: if it does not respond, the task has certainly not run, and another
+ * attempt costs nothing of the retry budget.
  */
 const RECENT_CONTACT_MS = 1_000;
 
@@ -180,7 +180,7 @@
     this.settle(this.mayHaveRun ? PEER_LOST : createRejection('peer-unreachable'));
   }
 
-  /** True if the body may have reached the owner. Nothing does before the socket has connected. */
+  /** True if the body may have reached the owner: not before the socket has connected. */
   private get mayHaveRun(): boolean {
     return this.stage === Stage.Committed && this.connection.wasEstablished;
   }
@@ -201,8 +201,8 @@
 
   /**
    * Handles an offer or a ping that has timed out. A task that the owner may have run is not given
-   * up, because the owner may be up and its link congested. The exchange then only reports the
-   * stage `silent`, and the ingress may try another owner at the same time.
+   * up, because the owner may be up and its link congested. The exchange then only reports
+   * `silent` as the task's progress, and the ingress may try another owner at the same time.
    */
   private onTimeout(isPeerActive: boolean): void {
     if (!isPeerActive) {
