--- a/src/relay/difference.ts
+++ b/src/relay/difference.ts
@@ -27,7 +27,7 @@
 /** A run of items that is copied from the old version, or a run of new items. */
 type Run = readonly [start: number, count: number] | readonly [newItems: readonly unknown[]];
 
-/** Sent as it is; {@link applyDifference} checks it. */
+/** A difference is sent without conversion; {@link applyDifference} checks it. */
 export interface Difference {
   readonly part: unknown;
   /** Digest of the new version. */
--- a/src/relay/directWatches.ts
+++ b/src/relay/directWatches.ts
@@ -43,7 +43,8 @@
    */
   noteEra(era: number): void;
   /**
-   * Notes a revision that the store has reached, and checks the watches that have not reported it.
+   * Notes a revision that the store has reached. A watch that has still not reported it at a later
+   * call is checked.
    */
   noteRevision(revision: number): void;
 }
--- a/src/relay/fallbackWatch.ts
+++ b/src/relay/fallbackWatch.ts
@@ -1,6 +1,7 @@
 /**
  * A watch that no reader of the node's own zone can answer. It is sent to the store itself while
- * the store answers, and to the reader of another zone while the store is suspected.
+ * the store answers, and to the reader of another zone while the store is suspected of not
+ * answering.
  */
 import type { StoreChanges, StoreError, StoreResult } from '../source/object-store.js';
 import type { StoreReachability } from './storeReachability.js';
--- a/src/relay/readerClient.ts
+++ b/src/relay/readerClient.ts
@@ -1,6 +1,7 @@
 /**
  * Sends this node's queries to the nodes that read the store for others. It selects the reader to
- * ask, limits the time to wait for an answer, and holds off from readers that have not answered.
+ * ask, limits the time to wait for an answer, and for a while asks no reader that has not answered
+ * or has answered `unavailable`.
  */
 import type { Clock } from '../model/clock.js';
 import type { StoreChanges, StoreQuery, StoreResult } from '../source/object-store.js';
@@ -96,7 +97,10 @@
   };
   const isAvailable = ({ address }: ZoneNode) => clock.now() >= (backoffUntil.get(address) ?? 0);
 
-  /** Longest wait of a follower's watch, in milliseconds: the time to detect a silent reader. */
+  /**
+   * Longest wait of a follower's watch, in milliseconds; infinite except for the configuration and
+   * the directory. A silent reader is detected after the wait and the response timeout.
+   */
   const longestWaitMs = (kind: string): number => {
     if (kind === configurationKind) {
       return longPollMs;
@@ -138,11 +142,11 @@
 
   /**
    * Sends a watch to a reader. If that reader answers `unavailable`, the watch goes on to a reader
-   * that this node prefers to it. This happens when the first reader of some nodes was in backoff
-   * and they asked this reader in its place: it stops reading once they ask it no more, and a watch
-   * that still waits there then ends. Readers further down in the order are not asked: they do not
-   * have the version that this node holds, and would send the whole object. A configuration is
-   * requested from the store at once instead, since the time within which it must be in force
+   * that this node prefers to it. This happens when some nodes asked the first reader only while
+   * their preferred one was in backoff: once they no longer ask it, it stops reading for others,
+   * and a watch that still waits at it ends. Readers further down in the order are not asked: they
+   * do not have the version that this node holds, and would send the whole object. A configuration
+   * is requested from the store at once instead, since the time within which it must be in force
    * leaves room for only one more call.
    */
   const watch = async (reader: ZoneNode, query: StoreQuery): Promise<ReaderAnswer> => {
@@ -172,7 +176,10 @@
   };
 }
 
-/** Returns an answer that a reader gave in place of the store. Undefined for any other failure. */
+/**
+ * Returns a success or `history-gone`, which a reader gives in place of the store. Undefined for
+ * any other failure or if there is no answer.
+ */
 function storeAnswer(answer: ReaderAnswer): ReaderAnswer {
   return answer?.ok || answer?.failure === 'history-gone' ? answer : undefined;
 }
--- a/src/relay/relayedStore.ts
+++ b/src/relay/relayedStore.ts
@@ -41,7 +41,7 @@
 export interface RelayedStore extends ObjectStore {
   /** True while this node reads through another node. */
   readonly isFollowing: boolean;
-  /** True while this node reads for other nodes. */
+  /** True while this node is a reader by its role, or other nodes read through it. */
   readonly isReader: boolean;
   /** True while other nodes read through this node. */
   readonly hasFollowers: boolean;
@@ -55,7 +55,7 @@
 
 export function createRelayedStore(context: RelayedStoreContext): RelayedStore {
   const { clock, store, cache, reach, watches, nodeKind, longPollMs, zoneAssignment } = context;
-  /** Kinds whose reader no longer has the changes since this node's revision. */
+  /** Kinds to list, since the reader no longer has the changes since this node's revision. */
   const kindsToList = new Set<string>();
 
   const hasFollowers = () => clock.now() - cache.lastReadAt < FOLLOWER_TIMEOUT_MS;
@@ -91,7 +91,7 @@
     const value = cache.noteList(kind, result.value, consistency);
     if (value.revision < (cache.revisionOf(kind) ?? 0)) {
       // The caller ignores a list that is older than the cache, so the list does not count as an
-      // answer of the store. When it did, nodes answered 404 for new routes.
+      // answer of the store. While such lists counted, nodes answered 404 for new routes.
       cache.markStale(kind);
     } else {
       reach.noteAnswered();
--- a/src/relay/storeCache.ts
+++ b/src/relay/storeCache.ts
@@ -1,6 +1,6 @@
 /**
- * Caches objects read from the store for other nodes of the zone. Only the last change of each is
- * kept: a node that asks from an earlier revision needs the present state, not every step.
+ * Caches objects read from the store for other nodes of the zone. Of each object, only the last
+ * change is sent: a node that asks from an earlier revision needs the present state, not each step.
  */
 import type { Clock } from '../model/clock.js';
 import { createWaiters, type Waiters } from '../model/waiters.js';
@@ -19,7 +19,7 @@
 
 /**
  * Earlier versions kept for each kind: a follower that holds one is sent only the difference. At 5
- * a second they reach back 6 s. They share equal parts: one of 1,600 routes adds about 15 KB.
+ * changes a second, they cover 6 s. They share equal parts: one of 1,600 routes adds about 15 KB.
  */
 const MAX_EARLIER_VERSIONS = 32;
 
@@ -55,8 +55,9 @@
    */
   noteObject<Spec>(kind: string, object: StoredObject<Spec>): StoredObject<Spec>;
   /**
-   * Marks a kind as possibly outdated: the store lacks the changes since then, or its list was
-   * older. The cache does not answer for the kind until it accepts another list or change.
+   * Marks a kind as possibly outdated: the store no longer has the changes since this node's
+   * revision, or has returned an older list than the cached one. The cache does not answer for the
+   * kind until it accepts another list or change.
    */
   markStale(kind: string): void;
   /** Newest revision up to which the cache has all changes of a kind. */
@@ -65,13 +66,13 @@
   singleObjectRevision(kind: string): number | undefined;
   /** The present or an earlier version of an object by its revision, if it is still cached. */
   objectAt(kind: string, revision: number): StoredObject<unknown> | undefined;
-  /** Answers another node's query; `unavailable` as soon as the cache is not fresh. */
+  /** Answers a query; `unavailable` unless fresh and current, `history-gone` if it is too old. */
   read(query: StoreQuery): Promise<StoreResult<StoreChanges<unknown>>>;
 }
 
 interface LastChange {
   readonly event: StoreEvent<unknown>;
-  /** Revision of the store when this node received the change; never below the object's own. */
+  /** The store's revision at receipt, or the object's own (first list, `get`); never below it. */
   readonly notedAt: number;
 }
 
@@ -85,7 +86,7 @@
   revision: number;
   removedCount: number;
   isStale: boolean;
-  /** False while the only source is a list that may lag, even from before a restore from a copy. */
+  /** False while the only source is a stale list, perhaps from before a restore from a copy. */
   isConfirmed: boolean;
   /** Reads that wait for the next change. */
   readonly waiters: Waiters;
@@ -97,7 +98,7 @@
   let lastReadAt = Number.NEGATIVE_INFINITY;
 
   const freshLeftMs = () => reach.answeredAt + freshMs - clock.now();
-  /** False while this node or the asking node has seen a later era than that of the cached kind. */
+  /** False while the kind is stale, or this node or the asking node has seen a later era. */
   const isCurrent = ({ isStale, revision }: CachedKind, { revision: from = 0 }: StoreQuery) =>
     !isStale && eraOf(revision) >= Math.max(era(), eraOf(from));
   const answerOf = (cached: CachedKind, query: StoreQuery) => {
--- a/src/relay/zoneReaders.ts
+++ b/src/relay/zoneReaders.ts
@@ -3,11 +3,11 @@
  * since a reader receives each version whole and sends it to many nodes. Every node ranks the nodes
  * of its zone by link speed and, among links of similar speed, by rendezvous hashing, so that all
  * nodes agree without messages. While the views of two nodes differ, a node that receives a query
- * reads, whatever its own rank.
+ * reads the store for the sender, whatever its own rank.
  */
 import { rankNames } from '../model/rendezvous.js';
 
-/** Nodes from which on a zone has a reader. */
+/** Smallest number of nodes in a zone that has a reader. */
 const MIN_ZONE_SIZE = 2;
 
 /** Nodes for each reader: the reader sends a change to all of them in turn over its own link. */
@@ -36,11 +36,14 @@
 
 export interface ZoneAssignment {
   readonly role: ZoneRole;
-  /** Readers to ask, in order of preference. Empty unless the role is follower. */
+  /**
+   * Nodes to ask, in order of preference: the readers, then at most one spare node. Empty unless
+   * the role is follower.
+   */
   readonly readers: readonly ZoneNode[];
   /**
-   * Returns the first reader of each other zone, for a node that the store does not answer. Computed
-   * on demand, since it is rarely needed.
+   * Returns the first reader of each other zone, for a node that the store does not answer.
+   * Computed on demand, since it is rarely needed.
    */
   readonly otherZoneReaders: () => readonly ZoneNode[];
 }
--- a/src/relay/zoneRelay.ts
+++ b/src/relay/zoneRelay.ts
@@ -12,9 +12,9 @@
 
 /**
  * Shares of the time within which a version must be in force. A follower detects a reader that is
- * cut off from the store after the long poll and the freshness margin at the latest (0.5), and a
- * reader that is frozen after the long poll and the response timeout (0.5). The remaining time is
- * for the follower's own call to the store.
+ * cut off from the store within the long poll and the freshness margin (0.5), and a frozen reader
+ * within the long poll and the response timeout (0.5). The remaining time is for the follower's own
+ * call to the store.
  */
 const LONG_POLL_SHARE = 0.3;
 const FRESHNESS_MARGIN_SHARE = 0.2;
@@ -141,8 +141,8 @@
     kind: ownRecord.kind,
     intervalMs: applyMs * LONG_POLL_SHARE,
     isEnabled: () => {
-      // Direct watches from before this node had found a reader, or from while it read for others,
-      // would need probes until their wait ends.
+      // A direct watch may have begun before this node found a reader, or while it read for others.
+      // It is released, since it would otherwise need probes until its wait ends.
       store.releaseDirectWatches();
       return store.hasFallbackWatch;
     },
@@ -179,7 +179,7 @@
   };
 }
 
-/** Encoded answers that are cached: the latest of both kinds, each from two revisions. */
+/** Encoded answers that are cached: the latest of two kinds, each from two revisions. */
 const MAX_CACHED_ANSWERS = 4;
 
 function createAnswerCache(): (key: string, encode: () => Buffer) => Buffer {
