--- a/src/ingress/dispatch.ts
+++ b/src/ingress/dispatch.ts
@@ -1,4 +1,4 @@
-/** Offers a client's request to owners in turn, within limits; refuses at once if none is left. */
+/** Offers a request to owners in turn, within limits. Refuses it if none can answer any more. */
 
 import type { CrossZoneBudget } from '../directory/crossZoneBudget.js';
 import type { OwnerCriteria, OwnerDirectory } from '../directory/owner-directory.js';
@@ -244,7 +244,7 @@
     this.running.add(startAttempt({ entry, task: this.task, mayWait, clock, earlierOffers }));
   }
 
-  /** The owner has received the task, so the task counts as arrived and may have run. */
+  /** The silent owner has received the task, so a back end may have received and run it. */
   private noteSilence(attempt: Attempt): void {
     this.silent.add(attempt);
     this.arrivals += 1;
--- a/src/ingress/dispatchRefusals.ts
+++ b/src/ingress/dispatchRefusals.ts
@@ -7,12 +7,12 @@
 import type { RetryAfterPacer } from './retryAfterPacer.js';
 
 /**
- * Time to retry, in milliseconds, if the reason is neither a lack of free slots nor a quarantine
- * and the owners have given no time.
+ * Milliseconds after which a client may retry, for refusals other than busy or quarantined, if the
+ * newest rejection gave no time.
  */
-const MIN_RETRY_AFTER_MS = 20;
+const DEFAULT_RETRY_AFTER_MS = 20;
 
-/** Time to retry, in milliseconds, if no owner of the service may be offered the request. */
+/** Milliseconds after which a client may retry if no owner may be offered the request. */
 const NO_OWNER_RETRY_AFTER_MS = 250;
 
 /** The request and the dependencies on the node. */
@@ -35,9 +35,9 @@
 }
 
 export interface DispatchRefusals {
-  /** The refusal if no owner is left to ask. 503 unless an earlier offer may have run it. */
+  /** The refusal if no owner is left to ask. 503 unless a back end may have run the request. */
   noOwner(progress: RequestProgress): ClientRefusal;
-  /** The refusal if the owners were busy. It spreads retries at the pace of completed requests. */
+  /** The refusal if the owners were busy. Its retry time comes from the {@link RetryAfterPacer}. */
   ownersBusy(progress: RequestProgress): ClientRefusal;
   /** The refusal for any other reason. */
   giveUp(code: ClientRefusal['code'], progress: RequestProgress): ClientRefusal;
@@ -76,7 +76,7 @@
       code === 'quarantined'
         ? crashTracker.quarantineLeftMs(key, clock.now())
         : lastNotRun?.retryAfterMs;
-    return { code, status: 503, retryAfterMs: retryAfterMs ?? MIN_RETRY_AFTER_MS };
+    return { code, status: 503, retryAfterMs: retryAfterMs ?? DEFAULT_RETRY_AFTER_MS };
   };
 
   return {
--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -20,16 +20,16 @@
 import type { RequestRecord } from './requestRecord.js';
 import { timeLimitOf } from './timeLimit.js';
 
-/** Time to retry, in milliseconds, if the node has no configuration or may lack a newer one. */
-const NO_CONFIGURATION_RETRY_AFTER_MS = 250;
+/** Milliseconds after which clients may retry if the configuration is missing or may be stale. */
+const CONFIGURATION_RETRY_AFTER_MS = 250;
 
 const BEHIND: ClientRefusal = {
   code: 'configuration-behind',
   status: 503,
-  retryAfterMs: NO_CONFIGURATION_RETRY_AFTER_MS,
+  retryAfterMs: CONFIGURATION_RETRY_AFTER_MS,
 };
 
-/** Time to retry while the node stops, in milliseconds. Short, as other nodes can serve at once. */
+/** Milliseconds after which clients may retry during a stop. Short, as other nodes can serve. */
 const STOPPING_RETRY_AFTER_MS = 20;
 
 /** Dependencies on the node. */
@@ -54,7 +54,7 @@
   private route: MeshRoute | undefined;
   private service = '';
   private tenant: MeshTenant | undefined;
-  /** True if a configuration that decided on this request has tenants. */
+  /** True if any configuration by which this request's access was decided has tenants. */
   private hasTenants = false;
   private quota: QuotaRefusalDetails | undefined;
   /** Puts the request's token back into the tenant's quota. */
@@ -78,27 +78,27 @@
   }
 
   /**
-   * `mayClose` is called when the answer is written and returns true if the answer must close the
-   * connection. `latestEnd` is the steady time in milliseconds at which a planned stop would cut
-   * the request off.
+   * `closeIfLast` is called when the answer is written. True if the answer must close the
+   * connection, which then serves no more requests. `latestEnd` is the steady time in milliseconds at
+   * which a planned stop would cut the request off.
    */
-  async run(mayClose: () => boolean, latestEnd: number): Promise<void> {
+  async run(closeIfLast: () => boolean, latestEnd: number): Promise<void> {
     this.request.on('error', () => {});
     this.response.on('error', () => {});
     this.response.on('close', () => this.onClose());
     const routes = this.options.routes();
     if (!routes) {
-      this.refuse({ ...BEHIND, code: 'no-configuration' }, mayClose());
+      this.refuse({ ...BEHIND, code: 'no-configuration' }, closeIfLast());
       return;
     }
     this.version = routes.version;
     const matched = routes.match(this.request.headers.host ?? '', this.request.url ?? '/');
     if (!matched) {
-      this.refuse(this.noRoute(), mayClose());
+      this.refuse(this.noRoute(), closeIfLast());
       return;
     }
     this.route = matched.route;
-    if (!this.isAdmitted(routes, matched.route, mayClose)) {
+    if (!this.checkAccess(routes, matched.route, closeIfLast)) {
       return;
     }
     if (headBytes(this.request) > routes.configuration.limits.maxHeaderBytes) {
@@ -106,31 +106,31 @@
       return;
     }
     this.service = matched.split.next();
-    this.startTimer(matched.route, mayClose);
+    this.startTimer(matched.route, closeIfLast);
     if (this.startedAt + this.allowedMs > latestEnd) {
       const refusal = { status: 503, retryAfterMs: STOPPING_RETRY_AFTER_MS } as const;
-      this.refuse({ code: 'stopping', ...refusal }, mayClose());
+      this.refuse({ code: 'stopping', ...refusal }, closeIfLast());
       return;
     }
     const placement = this.placementFor(matched);
     if (placement.isLeft()) {
-      this.refuse({ code: 'ambiguous-path', status: 400 }, mayClose());
+      this.refuse({ code: 'ambiguous-path', status: 400 }, closeIfLast());
       return;
     }
     const { tenant } = this;
     const decision = tenant && (await this.options.quotaGate?.admit(tenant));
-    if (decision && !this.isWithinQuota(decision, mayClose)) {
+    if (decision && !this.applyQuota(decision, closeIfLast)) {
       return;
     }
     const body = await readBody(this.request, routes.configuration.limits);
     if (body === 'too-large') {
       this.refuse({ code: 'too-large', status: 413 }, true);
-    } else if (body && !this.isFinished && this.isStillAdmitted(routes, matched.route, mayClose)) {
+    } else if (body && !this.isFinished && this.recheckAccess(routes, matched.route, closeIfLast)) {
       // While the body arrived, the key may have been moved to another tenant.
       const isSameTenant = this.tenant?.name === tenant?.name;
       const placementNow = isSameTenant ? placement : this.placementFor(matched);
-      // Never Left here, as the same path was accepted above.
-      await this.bringToOwner(matched, body, placementNow.orDefault(undefined), mayClose);
+      // Never a refusal here, as the same path was accepted above.
+      await this.bringToOwner(matched, body, placementNow.orDefault(undefined), closeIfLast);
     }
   }
 
@@ -139,8 +139,8 @@
     return this.options.mayBeBehind() ? BEHIND : { code: 'no-route', status: 404 };
   }
 
-  /** Stores the tenant of the request. Refuses the request if it lacks a valid key. */
-  private isAdmitted(routes: RouteMatcher, route: MeshRoute, mayClose: () => boolean): boolean {
+  /** Stores the tenant of the request, or refuses the request and returns false. */
+  private checkAccess(routes: RouteMatcher, route: MeshRoute, closeIfLast: () => boolean): boolean {
     const access = this.access.decide(this.request, routes, route);
     this.hasTenants ||= routes.keyring.hasTenants;
     if (access.kind === AccessKind.Granted) {
@@ -148,11 +148,12 @@
       return true;
     }
     const isDenied = access.kind === AccessKind.Denied;
-    this.refuse(isDenied ? { code: 'unknown-key', status: 401 } : BEHIND, mayClose());
+    this.refuse(isDenied ? { code: 'unknown-key', status: 401 } : BEHIND, closeIfLast());
     return false;
   }
 
-  private isWithinQuota(decision: QuotaDecision, mayClose: () => boolean): boolean {
+  /** Stores the refund, or refuses the request. False if the request has ended. */
+  private applyQuota(decision: QuotaDecision, closeIfLast: () => boolean): boolean {
     if (decision.isAdmitted) {
       this.refundQuota = decision.refund;
       if (this.isFinished) {
@@ -163,25 +164,25 @@
     }
     this.quota = decision.details;
     const { retryAfterMs } = decision;
-    this.refuse({ code: 'over-quota', status: 429, retryAfterMs }, mayClose());
+    this.refuse({ code: 'over-quota', status: 429, retryAfterMs }, closeIfLast());
     return false;
   }
 
   /** Checks the key again, as a new configuration may have revoked it while the body arrived. */
-  private isStillAdmitted(
+  private recheckAccess(
     earlierRoutes: RouteMatcher,
     route: MeshRoute,
-    mayClose: () => boolean,
+    closeIfLast: () => boolean,
   ): boolean {
     const routes = this.options.routes() ?? earlierRoutes;
-    return !hasBody(this.request) || this.isAdmitted(routes, route, mayClose);
+    return !hasBody(this.request) || this.checkAccess(routes, route, closeIfLast);
   }
 
   private async bringToOwner(
     matched: MatchedRoute,
     body: MessageBody,
     mayServe: OwnerFilter | undefined,
-    mayClose: () => boolean,
+    closeIfLast: () => boolean,
   ): Promise<void> {
     const isStream = body.kind === 'stream';
     const dispatch = new Dispatch(
@@ -198,9 +199,9 @@
     }
     if ('kind' in result) {
       this.finish(result.status, 'answered');
-      await sendAnswer(this.response, result, this.request.method ?? 'GET', mayClose());
+      await sendAnswer(this.response, result, this.request.method ?? 'GET', closeIfLast());
     } else {
-      this.refuse(result, mayClose());
+      this.refuse(result, closeIfLast());
     }
   }
 
@@ -237,16 +238,17 @@
     return task;
   }
 
-  /** Ends the request at the client's deadline or the route's timeout, whichever is sooner. */
-  private startTimer(route: MeshRoute, mayClose: () => boolean): void {
+  /** Cancels the request at the client's deadline or the route's timeout, whichever is sooner. */
+  private startTimer(route: MeshRoute, closeIfLast: () => boolean): void {
     const deadlineField = this.options.names.deadline.toLowerCase();
     const { allowedMs, code } = timeLimitOf(this.request, deadlineField, route);
     this.allowedMs = allowedMs;
     this.cancelTimer = this.options.timers.set(() => {
-      // A cancelled dispatch ends at once; its refusal depends on whether the request may have run.
+      // A cancelled dispatch ends at once. Its refusal has the code `deadline` for the timeout too,
+      // and a status that depends on whether the request may have run.
       this.cancellation.cancel();
       if (!this.dispatch) {
-        this.refuse({ code, status: 503, retryAfterMs: 0 }, mayClose());
+        this.refuse({ code, status: 503, retryAfterMs: 0 }, closeIfLast());
       }
     }, allowedMs);
   }
--- a/src/ingress/ingress-server.ts
+++ b/src/ingress/ingress-server.ts
@@ -7,7 +7,10 @@
 import { type IngressOptions, IngressRequest } from './ingress-request.js';
 import { createPipelines } from './pipelines.js';
 
-/** Largest head that is read, in bytes. The configured limit is checked after the head was read. */
+/**
+ * Largest request head, in bytes, that the HTTP parser accepts. The configured limit is checked
+ * after the head has been read.
+ */
 const MAX_HEAD_BYTES = 256 * 1024;
 
 /** Limits in milliseconds that apply until the node has a configuration. */
@@ -62,8 +65,8 @@
   }
 
   /**
-   * From this call on, answers close their connection, and requests that may not end before the
-   * planned stop are refused.
+   * From this call on, the last answer on a connection closes it. From `guaranteedFrom` on,
+   * requests that could still run at `endsAt` are refused.
    */
   beginShutdown(shutdown: ShutdownTimes): void {
     this.shutdown = shutdown;
@@ -84,7 +87,8 @@
   private async serve(request: http.IncomingMessage, response: http.ServerResponse): Promise<void> {
     const { socket } = request;
     if (!this.isAccepting) {
-      // The client keeps its connection busy. It sends requests again that were not answered.
+      // The connection closes once its earlier requests are answered. This request gets no answer,
+      // so the client sends it again.
       this.pipelines.closeWhenIdle(socket, () => socket.end());
       return;
     }
@@ -95,8 +99,8 @@
     this.inFlightCount += 1;
     try {
       const ingressRequest = new IngressRequest(this.options, this.access, request, response);
-      const mayClose = () => this.shutdown !== undefined && this.pipelines.closeIfLast(socket);
-      await ingressRequest.run(mayClose, this.latestEnd());
+      const closeIfLast = () => this.shutdown !== undefined && this.pipelines.closeIfLast(socket);
+      await ingressRequest.run(closeIfLast, this.latestEnd());
     } catch {
       // The code cannot tell whether the request has run, so no status would be correct.
       response.destroy();
--- a/src/ingress/ownerChoice.ts
+++ b/src/ingress/ownerChoice.ts
@@ -13,7 +13,7 @@
  */
 const MAX_BUSY_IN_ZONE = 2;
 
-/** Largest body size, in bytes, that the choice uses; also stands for a body of unknown size. */
+/** Larger bodies and bodies of unknown size count as this size, in bytes, in the choice. */
 const MAX_COUNTED_BODY_BYTES = 1024 * 1024;
 
 /** The request and the dependencies on the node. */
@@ -34,7 +34,10 @@
   readonly tried: ReadonlySet<OwnerEntry>;
   /** Number of owners in this node's zone that rejected the request because they were busy. */
   readonly busyInZone: number;
-  /** True if the request must run alone, at the same owner whichever node received it. */
+  /**
+   * True if the request is suspected of crashing back ends: it must run alone, and every node must
+   * offer it to the same owner.
+   */
   readonly isSuspect: boolean;
   /** Steady time in milliseconds. */
   readonly now: number;
@@ -50,20 +53,20 @@
 }
 
 export function createOwnerChoice(context: OwnerChoiceContext): OwnerChoice {
-  const { directory, crossZoneBudget, task, bodyBytes, share } = context;
+  const { directory, crossZoneBudget, task, bodyBytes, share: versionSelection } = context;
   const { service, priority, fingerprint } = task;
   const isLarge = bodyBytes >= LARGE_BODY_BYTES;
 
   const isAllowedByPolicies = (record: OwnerRecord) => context.mayServe?.(record) ?? true;
   const fallbackCheck = (): OwnerCriteria['mayServe'] => {
-    const { fallback } = share;
+    const { fallback } = versionSelection;
     return fallback
       ? (record) => fallback(record.node) && isAllowedByPolicies(record)
       : context.mayServe;
   };
-  /** A large body does not leave its zone to reach a preferred version. */
+  /** A request with a large body prefers only owners in this node's zone. */
   const preferredCheck = (): OwnerCriteria['mayServe'] => {
-    const { preferred } = share;
+    const { preferred } = versionSelection;
     return (
       preferred &&
       ((record) =>
--- a/src/ingress/pipelines.ts
+++ b/src/ingress/pipelines.ts
@@ -23,7 +23,7 @@
    * request on it is served.
    */
   closeIfLast(socket: Socket): boolean;
-  /** Stops serving the connection; calls back once its earlier requests are answered. */
+  /** Stops serving the connection. Calls back as soon as no earlier request awaits its answer. */
   closeWhenIdle(socket: Socket, callback: () => void): void;
 }
 
--- a/src/ingress/shared-retry-budget.ts
+++ b/src/ingress/shared-retry-budget.ts
@@ -1,9 +1,9 @@
 /**
  * This node's part of a retry budget that all nodes share. In every window, the number of retries
- * may be a share of the number of requests, plus a slack. Each node spends only what its own
- * requests have earned and its part of the slack, so the sum over all nodes stays within the bound
- * without a coordinator. The budget of a window may be spent at any time in it, so that a short
- * fault can use all of it.
+ * may be at most `ratio` times the number of requests, plus a fixed number (`slack`). Each node
+ * spends only what its own requests have earned and its part of the slack, so the sum over all
+ * nodes stays within the bound without a coordinator. The budget of a window may be spent at any
+ * time in it, so that a short fault can use all of it.
  */
 
 import {
@@ -16,11 +16,14 @@
   /** Retries allowed per request. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Retries allowed in each window in addition to the share of requests. */
+  /** Retries allowed in each window in addition to `ratio` times the requests. */
   readonly slack: number;
 }
 
-/** Part of the bound that is used. The rest is kept for retries that this node cannot see. */
+/**
+ * Share of the earned retries and of this node's part of the slack that is used. Of that part, up
+ * to one whole retry is used. The rest is kept for retries that this node cannot see.
+ */
 const USED_SHARE = 0.5;
 
 interface ServiceCounts {
@@ -40,7 +43,7 @@
     private readonly nodes: () => number,
   ) {}
 
-  /** Counts a request for a service, which earns a share of a retry. */
+  /** Counts a request for a service. It raises the number of allowed retries by less than one. */
   noteRequest(service: string, now: number): void {
     this.countsOf(service).requests.add(now);
   }
