--- a/src/routing/configurationDependencies.ts
+++ b/src/routing/configurationDependencies.ts
@@ -19,7 +19,7 @@
   readonly secrets: ReadonlyMap<string, string>;
 }
 
-/** The dependencies that the routes of a configuration use, by name. */
+/** The compiled policies of a configuration and the available values of secrets, by name. */
 export interface ResolvedDependencies {
   readonly policies: ReadonlyMap<string, CompiledPolicy>;
   readonly secrets: ReadonlyMap<string, string>;
--- a/src/routing/mesh-configuration.ts
+++ b/src/routing/mesh-configuration.ts
@@ -17,7 +17,10 @@
   kind: z.enum(['safe', 'unsafe', 'upload']),
   /** Milliseconds until the final answer. Undefined if the route sets no timeout. */
   timeoutMs: z.number().positive().optional(),
-  /** Milliseconds within which an answer has its full value to the client. */
+  /**
+   * Milliseconds within which the final answer should come. Owners start no task that can no longer
+   * meet it.
+   */
   targetLatencyMs: z.number().positive().optional(),
   priority: z.number().int().min(0).max(MAX_PRIORITY).default(1),
   maxAttempts: z.number().int().min(1).max(MAX_ATTEMPTS).default(1),
@@ -38,7 +41,7 @@
 
 const secretSchema = z.object({
   name: z.string().min(1),
-  /** SHA-256 of the value, in hexadecimal digits. Nodes use no value with another digest. */
+  /** SHA-256 of the value, in hexadecimal digits. Nodes use only a value with this digest. */
   digest: z.string().regex(/^[0-9a-f]{64}$/, 'expected 64 hexadecimal digits'),
 });
 
--- a/src/routing/route-matcher.ts
+++ b/src/routing/route-matcher.ts
@@ -1,4 +1,7 @@
-/** Finds the route of a request: the one with the longest matching path prefix for its host. */
+/**
+ * Finds the route of a request: the one with the longest matching path prefix for its host. Only
+ * prefixes that end in a slash match.
+ */
 import type { CompiledPolicy } from '../policy/placement-policy.js';
 import { createKeyring, type Keyring } from '../tenants/keyring.js';
 import { createTenantShares } from '../tenants/tenantShares.js';
--- a/src/routing/routing.test.ts
+++ b/src/routing/routing.test.ts
@@ -83,7 +83,7 @@
 });
 
 describe('checkMeshConfiguration', () => {
-  it('reports every finding with its path', () => {
+  it('reports the path of each schema finding of a route, without checking references', () => {
     const findings = checkMeshConfiguration({
       version: 3,
       routes: [{ ...route('a', 'no-slash'), kind: 'odd' }],
--- a/src/routing/traffic-split.ts
+++ b/src/routing/traffic-split.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * Chooses the service of each request. Over any run of requests, the number of requests of each
- * part differs by at most one from its share by weight.
+ * Chooses the service of each request. Over any consecutive requests, the number that a part gets
+ * stays close to its share by weight. With two parts, it differs by at most one.
  */
 export class TrafficSplit {
   private readonly parts: readonly SplitPart[];
