--- a/src/registry/back-end-registry.ts
+++ b/src/registry/back-end-registry.ts
@@ -1,8 +1,8 @@
 /**
- * Tracks the state of the back end on this node's machine from heartbeats,
- * deregistrations and health responses. An acknowledged drain is final: an
- * incarnation that is draining never becomes ready again, even if its heartbeats
- * arrive late or out of order. A later incarnation under the same id can.
+ * Tracks the state of the back end on this node's machine from heartbeats, deregistrations and
+ * health responses. An acknowledged drain is final: an incarnation that is draining never becomes
+ * ready again, even if its heartbeats arrive late or out of order. A later incarnation under the
+ * same id can become ready.
  */
 import {
   type BackEndIncarnation,
@@ -25,7 +25,7 @@
   readonly version: string | undefined;
 }
 
-/** The back end that the node may send work to, or that is draining. */
+/** The current back end: ready for work, or draining. */
 export interface BackEnd extends BackEndIncarnation {
   readonly service: string;
   readonly address: string;
@@ -53,8 +53,8 @@
 export type HeartbeatResult = 'applied' | 'old' | 'unverified';
 
 /**
- * Called on each change of the current back end. `isNewIncarnation` is true if it is a different
- * incarnation than before.
+ * Called when the current back end is replaced, deregisters, or changes its state, slots, address
+ * or service. `isNewIncarnation` is true if it is a different incarnation than before.
  */
 export type BackEndListener = (backEnd: BackEnd, isNewIncarnation: boolean) => void;
 
@@ -76,7 +76,10 @@
     return this.pending?.heartbeat;
   }
 
-  /** Processes a heartbeat. A heartbeat with an unknown id waits for {@link confirmReady}. */
+  /**
+   * Processes a heartbeat. A ready heartbeat with an unknown id waits for {@link confirmReady}.
+   * With the state `draining`, its incarnation is recorded as ended at once.
+   */
   heartbeat(heartbeat: Heartbeat, now: number): HeartbeatResult {
     if (this.ended.has(heartbeat)) {
       return 'old';
--- a/src/registry/endedIncarnations.ts
+++ b/src/registry/endedIncarnations.ts
@@ -4,7 +4,7 @@
  */
 import type { BackEndIncarnation } from './backEndIncarnation.js';
 
-/** Most back ends whose ended incarnations are kept; the oldest entries are dropped first. */
+/** Maximum number of back ends with ended incarnations that are kept; the oldest are dropped. */
 const MAX_BACK_ENDS = 256;
 
 export interface EndedIncarnations {
