--- a/src/policy/placement-policy.ts
+++ b/src/policy/placement-policy.ts
@@ -1,7 +1,6 @@
 /**
- * Placement policies: short CEL programs that decide which endpoints may serve a
- * request (brief, "The product"). A program is compiled once per configuration
- * version. An evaluation error counts as "not allowed".
+ * Placement policies: short CEL programs that decide which endpoints may serve a request. A program
+ * is compiled once per configuration version. An evaluation error counts as "not allowed".
  */
 import { Environment, type ParseResult } from '@marcbachmann/cel-js';
 import { type Either, Left, Right } from 'purify-ts';
@@ -12,9 +11,7 @@
   readonly path: string;
   /** Header names in lower case. */
   readonly headers: Readonly<Record<string, string>>;
-  /**
-   * Name of the request's tenant; empty for calls, for public routes and if there are no tenants.
-   */
+  /** Name of the request's tenant. Empty on public routes and if there are no tenants. */
   readonly tenant: string;
 }
 
@@ -59,9 +56,7 @@
 const MAX_DEPTH = 24;
 const MAX_LIST_ELEMENTS = 100;
 
-/**
- * Functions whose cost depends on their arguments: a regular expression can take exponential time.
- */
+/** Calls of `matches`, which are forbidden: a regular expression can take exponential time. */
 const FORBIDDEN_FUNCTIONS = /\.\s*matches\s*\(|\bmatches\s*\(/;
 
 const localitySchema = { zone: 'string', region: 'string', labels: 'map<string, string>' };
--- a/src/policy/request-normalizer.ts
+++ b/src/policy/request-normalizer.ts
@@ -1,13 +1,13 @@
 /**
- * Normalises a request once, before matching, so that an encoded path cannot
- * bypass a route or a placement policy (RFC 3986, section 6.2.2). The back end
- * receives the normalised path, so that it interprets the same path.
+ * Normalises a request for the placement policies, so that an encoded path cannot bypass a policy
+ * (RFC 3986, section 6.2.2). Route matching uses the path as sent, and the back end receives it
+ * unchanged.
  */
 import type { IncomingMessage } from 'node:http';
 import { type Either, Left, Right } from 'purify-ts';
 import type { PolicyRequest } from './placement-policy.js';
 
-/** A normalised request, the only form that route matching and policies receive. */
+/** A normalised request, the only form that policies receive. */
 export interface NormalizedRequest extends Omit<PolicyRequest, 'tenant'> {
   /** The unchanged query with its question mark; empty if there is none. */
   readonly query: string;
