--- a/src/sidecar/auxiliaryHandlers.ts
+++ b/src/sidecar/auxiliaryHandlers.ts
@@ -39,7 +39,10 @@
   };
 }
 
-/** Handles calls of the local back end. A registration takes effect before its response is sent. */
+/**
+ * Handles registrations of the local back end. A valid one takes effect before its response is
+ * sent. A heartbeat for a service that is not configured has no effect, is logged and gets 200.
+ */
 export function createRegistrationHandler(
   platform: PlatformAdapter,
   owner: Pick<LocalOwner, 'heartbeat' | 'deregister'>,
--- a/src/sidecar/quotaPart.ts
+++ b/src/sidecar/quotaPart.ts
@@ -23,8 +23,8 @@
   readonly reads: PooledPeerClient;
   readonly routes: () => RouteMatcher | undefined;
   /**
-   * True once the directory holds the other nodes. With a directory of only itself, a node would
-   * hold whole limits.
+   * True once the directory holds the other nodes. With a directory that holds only itself, a node
+   * would grant the whole limit of each tenant.
    */
   readonly isDirectorySynced: () => boolean;
 }
--- a/src/sidecar/rolloutParts.ts
+++ b/src/sidecar/rolloutParts.ts
@@ -26,7 +26,7 @@
   readonly onConnected: (connected: boolean, detail: string, cause?: string) => void;
 }
 
-/** Used if reloaded settings have no bounds any more: an order gives a version no requests. */
+/** Used if reloaded settings have no roll-out bounds: the exposure budget is then zero. */
 const NO_EXPOSURE: ExposureBounds = { exposureShare: 0, exposureSlack: 0 };
 
 export interface RolloutParts {
--- a/src/sidecar/sidecar-node.ts
+++ b/src/sidecar/sidecar-node.ts
@@ -23,10 +23,10 @@
  * Longest time in milliseconds that the first read of the configuration waits for the directory. A
  * node that has read the directory can ask its zone's reader for the configuration.
  */
-const DIRECTORY_HEAD_START_MS = 300;
+const MAX_WAIT_FOR_DIRECTORY_MS = 300;
 
 /** Interval between two checks whether the directory has been read, in milliseconds. */
-const HEAD_START_POLL_MS = 10;
+const DIRECTORY_POLL_MS = 10;
 
 /** Longest time for removing the node's own record during a stop, in milliseconds. */
 const REMOVE_TIMEOUT_MS = 100;
@@ -193,18 +193,18 @@
     this.platform.store.close();
   }
 
-  /** Starts reading the configuration; see {@link DIRECTORY_HEAD_START_MS}. */
+  /** Starts reading the configuration; see {@link MAX_WAIT_FOR_DIRECTORY_MS}. */
   private startConfiguration(): void {
     const { sync, configuration } = this.parts;
     const startedAt = this.clock.now();
     const timer = setInterval(() => {
       const waitedMs = this.clock.now() - startedAt;
       const isStopping = this.lifecycle.state !== LifecycleState.Serving;
-      if (sync.isSynced || waitedMs >= DIRECTORY_HEAD_START_MS || isStopping) {
+      if (sync.isSynced || waitedMs >= MAX_WAIT_FOR_DIRECTORY_MS || isStopping) {
         clearInterval(timer);
         configuration.start();
       }
-    }, HEAD_START_POLL_MS);
+    }, DIRECTORY_POLL_MS);
   }
 
   private onApplied(routes: RouteMatcher, origin: string): void {
--- a/src/sidecar/sidecar-process.ts
+++ b/src/sidecar/sidecar-process.ts
@@ -7,7 +7,7 @@
 import { SidecarNode } from './sidecar-node.js';
 import { checkSidecarSettings, type SidecarSettings } from './sidecar-settings.js';
 
-/** Interval of checks of the settings file, in milliseconds; it may change without a signal. */
+/** Interval of checks of the settings file, in milliseconds. The file may change without SIGHUP. */
 const SETTINGS_INTERVAL_MS = 2_000;
 
 /** Exit code for invalid settings. */
@@ -24,58 +24,67 @@
   readonly platform: PlatformAdapter;
 }
 
-/** Runs until SIGTERM. */
-export async function runSidecar(parts: SidecarProcess): Promise<void> {
-  const settings = await load(parts);
+/**
+ * Starts a node, which then runs until SIGTERM. Resolves when it has started. With invalid
+ * settings, it starts no node and sets the exit code.
+ */
+export async function runSidecar(sidecarProcess: SidecarProcess): Promise<void> {
+  const settings = await load(sidecarProcess);
   if (!settings) {
     process.exitCode = EXIT_SETTINGS;
     return;
   }
-  const node = new SidecarNode(settings, parts.platform, parts.clocks, parts.log, parts.metrics);
+  const node = new SidecarNode(
+    settings,
+    sidecarProcess.platform,
+    sidecarProcess.clocks,
+    sidecarProcess.log,
+    sidecarProcess.metrics,
+  );
   process.on('SIGTERM', () => {
     void node.stop().finally(() => process.exit(0));
   });
-  process.on('SIGHUP', () => void reload(parts, node));
+  process.on('SIGHUP', () => void reload(sidecarProcess, node));
   process.on('uncaughtException', (error) => {
-    parts.log.event('unexpected', { error: String(error.stack ?? error) });
+    sidecarProcess.log.event('unexpected', { error: String(error.stack ?? error) });
   });
   process.on('unhandledRejection', (error) => {
-    parts.log.event('unexpected', { error: String(error) });
+    sidecarProcess.log.event('unexpected', { error: String(error) });
   });
-  watchSettings(parts, node);
+  watchSettings(sidecarProcess, node);
   await node.start();
 }
 
-async function load(parts: SidecarProcess): Promise<SidecarSettings | undefined> {
+async function load(sidecarProcess: SidecarProcess): Promise<SidecarSettings | undefined> {
   try {
-    return checkSidecarSettings(await parts.readSettings()).caseOf({
+    return checkSidecarSettings(await sidecarProcess.readSettings()).caseOf({
       Left: (findings) => {
-        parts.log.event('settings-refused', { findings });
+        sidecarProcess.log.event('settings-refused', { findings });
         return undefined;
       },
       Right: (settings) => settings,
     });
   } catch (error) {
-    parts.log.event('settings-refused', { error: String(error) });
+    sidecarProcess.log.event('settings-refused', { error: String(error) });
     return undefined;
   }
 }
 
 /** Reloads the settings. Invalid ones are logged, and those in force stay. */
-async function reload(parts: SidecarProcess, node: SidecarNode): Promise<void> {
-  const settings = await load(parts);
+async function reload(sidecarProcess: SidecarProcess, node: SidecarNode): Promise<void> {
+  const settings = await load(sidecarProcess);
   if (settings) {
     node.reload(settings);
   }
 }
 
-function watchSettings(parts: SidecarProcess, node: SidecarNode): void {
-  let lastModifiedAt = modifiedAt(parts.settingsFile);
+function watchSettings(sidecarProcess: SidecarProcess, node: SidecarNode): void {
+  let lastModifiedAt = modifiedAt(sidecarProcess.settingsFile);
   const timer = setInterval(() => {
-    const currentModifiedAt = modifiedAt(parts.settingsFile);
+    const currentModifiedAt = modifiedAt(sidecarProcess.settingsFile);
     if (currentModifiedAt !== lastModifiedAt) {
       lastModifiedAt = currentModifiedAt;
-      void reload(parts, node);
+      void reload(sidecarProcess, node);
     }
   }, SETTINGS_INTERVAL_MS);
   timer.unref();
--- a/src/sidecar/sidecar-settings.ts
+++ b/src/sidecar/sidecar-settings.ts
@@ -28,9 +28,12 @@
     /** Undefined if no metrics are served. */
     metrics: address.optional(),
   }),
-  /** Longest time, in milliseconds, from an acknowledged drain to the last new task. */
+  /** Milliseconds from the acknowledgement of a drain during which the back end may get tasks. */
   drainMs: z.number().positive().default(2_000),
-  /** Longest time, in milliseconds, from a version's acknowledgement until it is in force. */
+  /**
+   * Longest time, in milliseconds, from the acknowledgement of a configuration version until it is
+   * in force.
+   */
   configurationApplyMs: z.number().positive().default(2_000),
   /** Milliseconds from SIGTERM to SIGKILL. */
   graceMs: z.number().positive().default(6_000),
@@ -43,7 +46,10 @@
     .prefault({}),
   /** Longest time, in milliseconds, for which nodes may be unaware of one another after a fault. */
   contactMs: z.number().positive().default(3_000),
-  /** Milliseconds that a store fault, short of an outage, may add to the time bounds of changes. */
+  /**
+   * Milliseconds that a store fault other than an outage may add to the time bounds of changes.
+   * Checked, but not used by nodes.
+   */
   maxSkewMs: z.number().min(0).default(5_000),
   /** Bounds of tenants' quotas. If undefined, no tenant is limited. */
   quota: z
@@ -75,7 +81,10 @@
       exposureShare: z.number().min(0).max(1),
       /** Number of requests that a version may get in addition to `exposureShare`. */
       exposureSlack: z.number().min(0),
-      /** Milliseconds from a bad version's 50th bad answer until it must get no more requests. */
+      /**
+       * Longest time, in milliseconds, from the 50th bad answer of a bad version until it gets no
+       * more requests.
+       */
       rollbackMs: z.number().positive(),
     })
     .optional(),
--- a/src/sidecar/sidecarParts.ts
+++ b/src/sidecar/sidecarParts.ts
@@ -168,7 +168,7 @@
     onQuarantineChange: ({ fingerprint, caller: from }, change, origin, crashes) =>
       log.event('quarantine', { fingerprint, caller: from, change, origin, crashes }),
     onUnreadable: (name, origin) =>
-      noteUnreadable(UnreadableEntryKind.CrashRecord, name, `from ${origin}`),
+      noteUnreadable(UnreadableEntryKind.CrashRecord, name, `not readable, from ${origin}`),
   });
 
   const nodes = () => (sync.isSynced ? directory.size : Number.POSITIVE_INFINITY);
--- a/src/sidecar/storeParts.ts
+++ b/src/sidecar/storeParts.ts
@@ -22,7 +22,7 @@
  */
 const PEERS_ASKED_AT_START = 4;
 
-/** Timeout of a request for a node's version, in milliseconds. A node that is up takes a few. */
+/** Timeout of a request for a node's version, in milliseconds. A running node needs a few. */
 const VERSION_TIMEOUT_MS = 150;
 
 export interface RelayPartContext extends SidecarPartsContext {
