--- a/src/diagnostics/decision-log.ts
+++ b/src/diagnostics/decision-log.ts
@@ -1,7 +1,7 @@
 /**
  * Structured log: one JSON object per line on standard output. Writing never blocks the node: lines
- * wait in a bounded buffer. Lines that do not fit are dropped, and the next line that fits reports
- * their number.
+ * wait in a bounded buffer. Lines that do not fit, and lines about requests above the rate limit,
+ * are dropped. The next line that is accepted reports their number.
  */
 import { write } from 'node:fs';
 
--- a/src/diagnostics/sidecar-metrics.ts
+++ b/src/diagnostics/sidecar-metrics.ts
@@ -53,7 +53,7 @@
   });
   private readonly tenantRequests = new Counter({
     name: 'spindlepaddle_tenant_requests_total',
-    help: 'Requests with a key by tenant (the ten with the highest limits by name) and outcome code',
+    help: 'Requests with a key by tenant (by name for the ten highest limits) and outcome code',
     labelNames: ['tenant', 'code'],
     registers: [this.registry],
   });
@@ -78,7 +78,7 @@
   });
   private readonly overdueRuns = new Counter({
     name: 'spindlepaddle_runs_overdue_total',
-    help: 'Runs without an answer of the local back end while it answered later ones, or none at all',
+    help: 'Runs that the local back end does not answer, while it answers later runs or no runs',
     labelNames: ['route'],
     registers: [this.registry],
   });
@@ -90,7 +90,7 @@
   });
   private readonly rolloutChanges = new Counter({
     name: 'spindlepaddle_rollout_changes_total',
-    help: 'Orders, phases, decisions and statuses of roll-outs here, by phase or state they led to',
+    help: 'Roll-out orders, phases, decisions and statuses at this node, by resulting phase or state',
     labelNames: ['change', 'to'],
     registers: [this.registry],
   });
@@ -114,7 +114,7 @@
   });
   private readonly stages = new Histogram({
     name: 'spindlepaddle_stage_seconds',
-    help: 'Time by route and stage: total at the ingress, queue and back end at the owner',
+    help: 'Time by service and stage: total (at the ingress), queue and back-end (at the owner)',
     labelNames: ['service', 'stage'],
     buckets: DURATION_BUCKETS_SECONDS,
     registers: [this.registry],
@@ -204,8 +204,8 @@
 }
 
 /**
- * Sets a counter to sums that are kept elsewhere, where a message costs no more than an addition;
- * called at each scrape.
+ * Sets a counter to sums that are kept outside the metrics, so that each message costs only an
+ * addition. Called at each scrape.
  */
 function setTotals(counter: Counter, totals: Readonly<Record<string, number>>): void {
   counter.reset();
--- a/src/diagnostics/usageReporter.test.ts
+++ b/src/diagnostics/usageReporter.test.ts
@@ -11,7 +11,7 @@
   vi.useRealTimers();
 });
 
-it('logs what was sent and received since the previous line, and the sums since the start', () => {
+it('logs the bytes since the previous line, and keeps the sums since the start', () => {
   const lines: Record<string, unknown>[] = [];
   const log = new DecisionLog(
     'node-1',
--- a/src/diagnostics/usageReporter.ts
+++ b/src/diagnostics/usageReporter.ts
@@ -4,7 +4,10 @@
  */
 import type { DecisionLog } from './decision-log.js';
 
-/** Interval of log lines, in milliseconds: well below a minute, far above the cost of a line. */
+/**
+ * Interval of log lines, in milliseconds. It is well below a minute, and long enough that the cost
+ * of a line does not matter.
+ */
 const LINE_INTERVAL_MS = 5_000;
 
 const MICROSECONDS_PER_MILLISECOND = 1_000;
