--- a/test/operators.test.ts
+++ b/test/operators.test.ts
@@ -109,7 +109,7 @@
     expect(storedVersion(store)).toMatchObject({ version: 2, routes: [{ pathPrefix: '/next/' }] });
   });
 
-  it('is not written twice if the store carries it out late', async () => {
+  it('is not written twice if the store performs the write late', async () => {
     const store = new MemoryStore();
     await run(store, ['apply', writeConfiguration('base', '/base/')]);
     const view = new StoreView(store);
--- a/test/quarantine.test.ts
+++ b/test/quarantine.test.ts
@@ -48,7 +48,7 @@
 const refusalOf = ({ status, body }: { status: number; body: string }) =>
   `${status} ${(JSON.parse(body) as { error: string }).error}`;
 
-/** Sends the request until it is refused; the entry's service is `desk`. */
+/** Sends the request until it is refused as quarantined. `entry` must belong to `desk`. */
 async function sendUntilQuarantined(entry = mesh.machines[1]): Promise<void> {
   await waitFor(async () => {
     const { status, body } = await sendTo(entry);
@@ -65,7 +65,7 @@
 }
 
 describe('a request that has crashed a back end alone', () => {
-  it('is refused by every node at once, with the time until it may run again', async () => {
+  it('is refused without delay by every node of the calling service, with the time until it may run again', async () => {
     await sendUntilQuarantined();
     await delay(ANNOUNCED_MS);
     const before = crashes();
@@ -140,7 +140,7 @@
     expect(crashes()).toBe(3);
   });
 
-  it('runs once more, alone, when an operator removes its record, and is served if it crashes nothing', async () => {
+  it('is served again after an operator has removed its record, if it crashes nothing', async () => {
     await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
@@ -155,7 +155,7 @@
     expect((await sendTo(mesh.machines[3])).status).toBe(200);
   });
 
-  it('is quarantined again if it still crashes after that, at the cost of one back end', async () => {
+  it('is quarantined again after one more crash if an operator removes its record too early', async () => {
     await sendUntilQuarantined();
     await waitFor(() => storedNames().length === 1);
     await waitFor(() => mesh.machines.every(({ node }) => node.status.backEndReady));
--- a/test/sidecar-data-path.test.ts
+++ b/test/sidecar-data-path.test.ts
@@ -103,7 +103,7 @@
     expect(mesh.runs()).toHaveLength(statuses.length);
   });
 
-  it('accepts an answer that comes before the end of a long body, and serves the next request correctly', async () => {
+  it('serves the next request correctly after an answer that comes before the end of a long body', async () => {
     const { vault, first } = await threeMachines();
     vault.application.behaviours.push('answer-early');
     const body = 'z'.repeat(3_000_000);
@@ -187,7 +187,7 @@
 
 describe('admission at the owner', () => {
   it('never exceeds the slots of a back end, and refuses at once requests that would be late', async () => {
-    // Much longer than thirty connections in one process take on a fully loaded machine.
+    // Much longer than it takes to open thirty connections in one process on a loaded machine.
     const serviceMs = 500;
     const only = await mesh.add('desk', { slots: 2 });
     const entry = await mesh.add('vault');
--- a/test/sidecar-membership.test.ts
+++ b/test/sidecar-membership.test.ts
@@ -15,7 +15,10 @@
   mesh.close();
 });
 
-/** By this time in a grace of four seconds a node accepts no new request, in milliseconds. */
+/**
+ * Milliseconds after the start of a planned stop, with a grace of four seconds, at which the node
+ * accepts no new requests.
+ */
 const LATE_IN_GRACE_MS = 2_600;
 
 /** Well below the interval between two health checks, in milliseconds. */
@@ -38,8 +41,8 @@
 }
 
 /**
- * The reader through which a machine reads the store, by its last log line on that. Undefined if
- * none.
+ * The reader through which a machine reads the store, from its last `zone-reader` log line.
+ * Undefined if it has none.
  */
 function readerOf({ lines }: Machine): unknown {
   return lines.findLast(({ event }) => event === 'zone-reader')?.reader;
@@ -65,7 +68,7 @@
     expect(second.application.runs.length).toBeGreaterThanOrEqual(20);
   });
 
-  it('stays fenced after it deregistered, also when its node restarts and receives an old heartbeat', async () => {
+  it('gets no new work after it has deregistered, also when its node restarts and receives an old heartbeat', async () => {
     const [first, , entry] = await threeMachines();
     expect(await first.application.deregister(first.node.addresses.registrations)).toBe(200);
     first.application.draining = true;
--- a/test/tenants.test.ts
+++ b/test/tenants.test.ts
@@ -60,11 +60,11 @@
   });
 
   it.each([
-    ['none', {}],
-    ['an unknown one', { [KEY]: 'other' }],
-    ['two', { [KEY]: ['acme-key', 'acme-key'] }],
-    ['two in one field', { [KEY]: 'acme-key, beta-key' }],
-    ['it in another field', { authorization: 'acme-key', Spindlepaddle_Api_Key: 'acme-key' }],
+    ['no key', {}],
+    ['an unknown key', { [KEY]: 'other' }],
+    ['two keys', { [KEY]: ['acme-key', 'acme-key'] }],
+    ['two keys in one field', { [KEY]: 'acme-key, beta-key' }],
+    ['the key in another field', { authorization: 'acme-key', Spindlepaddle_Api_Key: 'acme-key' }],
   ])('is refused at once with 401: %s', async (_case, headers) => {
     const { first, address } = await twoMachines();
     expect((await call(address, '/read/1', { headers })).status).toBe(401);
@@ -175,10 +175,10 @@
   });
 });
 
-describe('a node that the store does not answer', () => {
+describe('nodes without the store or a configuration', () => {
   it.each([
-    ['refuses a key that it cannot confirm', true, 503],
-    ['serves a key that it has', false, 200],
+    ['refuse requests with a key that they cannot confirm', true, 503],
+    ['serve requests with a key of their configuration', false, 200],
   ])('%s (strict: %s)', async (_case, isStrict, expected) => {
     const revocation = { isStrict, withinMs: 1_500 };
     const { first, second, address } = await twoMachines({ bounds: { revocation } });
@@ -199,7 +199,7 @@
     await waitFor(async () => (await ask('new-key')).status === 401);
   });
 
-  it('answers 503, never 401, without a configuration', async () => {
+  it('answer 503, never 401, without a configuration', async () => {
     const machine = await mesh.add('desk');
     const result = await call(machine.node.addresses.clients, '/read/1', {
       headers: { [KEY]: 'any' },
@@ -243,7 +243,7 @@
     expect((await call(address, '/open/1', { headers })).status).toBe(503);
   });
 
-  it('gets the tenant that has the key at the end of the body', async () => {
+  it('gets the tenant that holds the key when the body has ended', async () => {
     const { near, far, address } = await twoHomes();
     const agent = new http.Agent();
     const held = heldUpload(address, agent);
