--- a/src/ingress/ingress-request.ts
+++ b/src/ingress/ingress-request.ts
@@ -79,8 +79,8 @@
 
   /**
    * `closeIfLast` is called when the answer is written. True if the answer must close the
-   * connection, which then serves no more requests. `latestEnd` is the steady time in milliseconds at
-   * which a planned stop would cut the request off.
+   * connection, which then serves no more requests. `latestEnd` is the steady time in milliseconds
+   * at which a planned stop would cut the request off.
    */
   async run(closeIfLast: () => boolean, latestEnd: number): Promise<void> {
     this.request.on('error', () => {});
