--- a/src/rollout/failureCounts.ts
+++ b/src/rollout/failureCounts.ts
@@ -15,8 +15,9 @@
 const USUAL_FAILURES = 0.005;
 
 /**
- * If most failures are at one back end, the version's other back ends clear it with at least
- * CLEARING_RUNS runs, unless the probability of their own failures is below ODD_PROBABILITY.
+ * If the version's failures are unusual, the back end with the most failures is left out. The
+ * version is cleared if its other back ends have at least CLEARING_RUNS runs and the probability of
+ * their failures is not below ODD_PROBABILITY.
  */
 const CLEARING_RUNS = 10;
 const ODD_PROBABILITY = 0.15;
@@ -25,8 +26,8 @@
 const WORSE_BY = 0.1;
 
 /**
- * A route with less than RARE_SHARE of all requests can prove little. RARE_PART of its requests
- * without a failure are enough there.
+ * A route with less than RARE_SHARE of all requests can prove little. There it is enough if the
+ * version has run at least RARE_PART of the route's requests and none of them failed.
  */
 const RARE_SHARE = 0.05;
 const RARE_PART = 0.5;
@@ -64,11 +65,12 @@
   /** Like `doubt`, but leaves out routes whose failures a single faulty machine would explain. */
   doubtBeyondOneNode(): string | undefined;
   /**
-   * The node of the version without which its failures are not unusual; its machine may be faulty.
+   * Node of the back end with the most failures, if those of the version's other back ends are not
+   * unusual; its machine may be faulty.
    */
   suspect(): string | undefined;
   /**
-   * Probability that a version which fails a tenth more requests than the others has so few
+   * Probability that a version whose failure share is 0.1 above that of the others has so few
    * failures, on the route where that is most likely.
    */
   chanceIfBad(): number;
--- a/src/rollout/rolloutDecider.ts
+++ b/src/rollout/rolloutDecider.ts
@@ -61,18 +61,23 @@
   readonly report: EvidenceReport;
   readonly at: number;
   /**
-   * Milliseconds by which the report's age of the order is behind this node's: the time that the
-   * report took, or that its owner learned of the order later.
+   * Milliseconds by which the age of the order in the report is less than the greatest age that any
+   * node has reported: because the report took that time to arrive, or because its owner learned of
+   * the order later.
    */
   readonly lateMs: number;
 }
 
 /**
- * Share of the owners that must have reported to a node for it to lead without being first by rank.
+ * Share of the owners that must have reported to a node for it to lead although it is not first by
+ * rank.
  */
-const QUORUM_SHARE = 0.5;
+const LEADER_QUORUM_SHARE = 0.5;
 
-/** False from the shift on, when all new requests go to the version. */
+/**
+ * False from the shift on, when all new requests are meant for the version. The others may still
+ * get some in the shift until they are fenced.
+ */
 function areOthersServing({ phase }: RunningRollout): boolean {
   return phase !== RolloutPhase.Shift && phase !== RolloutPhase.Done;
 }
@@ -85,7 +90,10 @@
   const limits = createExposureLimits();
   /** Sequence number of the newest report of each count. */
   const sequences = new Map<string, number>();
-  /** True once the others accept nothing new; stays true until the end of the shift. */
+  /**
+   * True once the plan tells the others to accept nothing new; stays true while the phase is Shift
+   * or Done.
+   */
   let isFenced = false;
   /** Time at which the first report arrived. */
   let begunAt: number | undefined;
@@ -197,7 +205,7 @@
       }
     },
     hasReportQuorum: ({ up }) =>
-      up.length > 0 && currentReports().length >= up.length * QUORUM_SHARE,
+      up.length > 0 && currentReports().length >= up.length * LEADER_QUORUM_SHARE,
     step: (rollout, owners, outside) => {
       comparison.step(areOthersServing(rollout), clock.now());
       const facts = factsOf(rollout, owners, outside);
--- a/src/rollout/rolloutDecision.ts
+++ b/src/rollout/rolloutDecision.ts
@@ -1,12 +1,13 @@
 /**
  * Decides the next phase of a roll-out: a pure function of the facts that its decider has.
  *
- * Each phase ends on reports made in it, never because its time is over. The version is watched at
- * a small share, gets a larger share (the ramp), then all new requests (the shift), so that the
- * others can finish the requests they run; when the order is `completed` the others stop at once.
- * The shift begins no sooner than the version may receive every request until the deadline without
- * exceeding the bound, even if it fails all of them. Where the shift needs more time than that, the
- * version must prove itself good on each route in it.
+ * A phase ends because of reports made in it, not only because its time is over; close to the
+ * deadline, the watch may end without all the evidence. The version is watched at a small share,
+ * gets a larger share (the ramp), then all new requests (the shift), so that the others can finish
+ * the requests they run; when the order is `completed` the others stop at once. The shift begins no
+ * sooner than the budget covers every request until the deadline, even if the version fails all of
+ * them. If the shift needs more time than that leaves, it may begin earlier, and the version must
+ * be proven good on each route in the shift.
  */
 
 import { budgetNow, isWithinBudget, requestsIn } from './exposure.js';
@@ -173,12 +174,12 @@
     return { phase: RolloutPhase.Watch, reason: 'the shift cannot end before the deadline' };
   }
   if (canBeginShift(facts)) {
-    return { phase: RolloutPhase.Shift, reason: 'no obstacle at the larger share' };
+    return { phase: RolloutPhase.Shift, reason: 'no obstacle to the shift' };
   }
   if (canBeProven(facts) && timeToDeadlineMs(facts) <= shiftStartMs(facts, facts.exposure)) {
     return {
       phase: RolloutPhase.Shift,
-      reason: 'no obstacle at the larger share; to be proven in the shift',
+      reason: 'no obstacle to the shift; to be proven in it',
     };
   }
   return keepPhase('too early for the bound');
@@ -209,7 +210,7 @@
     return { phase, reason: 'too early for the bound' };
   }
   if (busyOthers > 0) {
-    return { phase, reason: `${busyOthers} owners of other versions still run requests` };
+    return { phase, reason: `${busyOthers} owners of other versions may still run requests` };
   }
   return isSafe
     ? { phase: RolloutPhase.Done, reason: 'owners of other versions run nothing' }
--- a/src/rollout/rolloutMessages.ts
+++ b/src/rollout/rolloutMessages.ts
@@ -43,7 +43,7 @@
   readonly kind: RolloutMessageKind.Evidence;
   readonly service: string;
   readonly orderId: string;
-  /** Milliseconds since the order, by the owner's information. */
+  /** Milliseconds since the order was made, by the owner's information. */
   readonly ageMs: number;
   readonly node: string;
   /** Phase that the owner is in when it makes the report. */
--- a/src/rollout/rolloutPlan.ts
+++ b/src/rollout/rolloutPlan.ts
@@ -12,7 +12,7 @@
   readonly owners: ReadonlySet<string>;
   /**
    * True in the shift once owners of other versions accept nothing new. Until then they receive the
-   * requests that the version's owners reject.
+   * requests that are not offered to the version first, and those that its owners reject.
    */
   readonly isFenced: boolean;
 }
--- a/src/rollout/rolloutProof.ts
+++ b/src/rollout/rolloutProof.ts
@@ -10,7 +10,7 @@
 /**
  * Requests without a failure on each route after which a version is likely good; its limits are
  * then lifted in the shift. Where a route has seen failures, the evidence must be as strong: a
- * version that fails a tenth more requests than the others shows it no more often than it passes
+ * version whose failure share is 0.1 above that of the others shows it no more often than it passes
  * this many requests without a failure. The number is PROVING_PART of the budget, divided by the
  * number of routes, within these two bounds: the more the budget allows, the more the version must
  * show.
@@ -26,7 +26,7 @@
  */
 const PROVEN_RUNS_MORE = 14;
 
-/** Probability that a version which fails a tenth more requests passes one request. */
+/** Probability that a version whose failure share is 0.1 above the others' passes one request. */
 const PASSED_IF_BAD = 0.9;
 
 /**
--- a/src/rollout/rolloutTracker.ts
+++ b/src/rollout/rolloutTracker.ts
@@ -10,7 +10,10 @@
 /** Milliseconds until a phase with a larger share ends unless the leader announces it again. */
 export const PHASE_LEASE_MS = 1_600;
 
-/** Milliseconds for which a plan of the watch is valid; it is announced over twice in that time. */
+/**
+ * Milliseconds after its announcement for which a plan is valid; the lease of its phase may end
+ * sooner. In the watch, a plan is announced more than twice in that time.
+ */
 const PLAN_LIFETIME_MS = 5_000;
 
 /**
@@ -22,7 +25,7 @@
 /** Dependencies on the node. */
 export interface RolloutTrackerContext {
   readonly clock: Clock;
-  /** Milliseconds without data from store or leader after which the version gets no requests. */
+  /** Milliseconds with data from neither store nor leader until the target gets no requests. */
   readonly staleMs: () => number;
 }
 
@@ -31,7 +34,7 @@
   readonly service: string;
   readonly orderId: string;
   readonly phase: RolloutPhase;
-  /** Milliseconds since the order, by the sender's information. */
+  /** Milliseconds since the order was made, by the sender's information. */
   readonly ageMs: number;
   readonly plan?: RolloutPlan;
 }
@@ -158,8 +161,8 @@
     tracked.order = order;
     if (hasEnded(order)) {
       // The store may report the end before the leader does. Without this, owners that accept
-      // nothing new until the end would reject requests for up to one more lease: for 0.6 s when a
-      // version was rolled back.
+      // nothing new until the end would reject requests for up to one more lease. Requests were
+      // rejected for 0.6 s when a version was rolled back.
       tracked.phase = endPhaseOf(order);
       tracked.endedAt = clock.now();
     }
@@ -167,8 +170,8 @@
 
   const applyOrder = (order: RolloutOrder): boolean => {
     const tracked = orders.get(order.service);
-    // An order ends only once: one that was ended and has no final state now is the same order,
-    // made again after another.
+    // An ended order never runs again. If the known order has ended and the store now has the same
+    // id without a final state, the order was made again, after another order in between.
     const isMadeAgain = tracked && hasEnded(tracked.order) && !hasEnded(order);
     if (tracked?.order.id !== order.id || isMadeAgain) {
       begin(order);
--- a/src/rollout/runCounts.ts
+++ b/src/rollout/runCounts.ts
@@ -1,6 +1,7 @@
 /**
- * Counts by route how requests ended at a back end while a roll-out runs: the evidence of its
- * deciders. Counts only grow, so that a lost, late or repeated report loses nothing.
+ * Counts by route how requests ended at a back end while a roll-out runs; the deciders of the
+ * roll-out use the counts as evidence. Until they are reset for another order, the counts only
+ * grow, so that a report that is lost, late or repeated makes no request missing or counted twice.
  */
 
 /**
@@ -20,8 +21,9 @@
 const OTHER_ROUTES = '';
 
 /**
- * Connections that a back end loses within this time of one another, in milliseconds, count as one
- * crash: a machine may fail under any version, and all requests that run there fail with it.
+ * A connection that is lost within this time, in milliseconds, after the previous lost one belongs
+ * to the same crash, also on another route: a machine may fail under any version, and all requests
+ * that run there fail with it.
  */
 const SAME_CRASH_MS = 250;
 
@@ -151,29 +153,32 @@
 }
 
 /**
- * Difference from an earlier state of the same counts; all of `now` if they were reset meanwhile.
+ * Difference from an earlier state of the same counts; all of `current` if they were reset
+ * meanwhile.
  */
-export function countsSince(now: RouteCounts, earlier: RouteCounts | undefined): RouteCounts {
-  if (!earlier || wasReset(now, earlier)) {
-    return now;
+export function countsSince(current: RouteCounts, earlier: RouteCounts | undefined): RouteCounts {
+  if (!earlier || wasReset(current, earlier)) {
+    return current;
   }
   return {
-    answered: now.answered - earlier.answered,
-    failed: now.failed - earlier.failed,
-    crashes: now.crashes - earlier.crashes,
-    durations: difference(now.durations, earlier.durations),
-    cancellations: difference(now.cancellations, earlier.cancellations),
+    answered: current.answered - earlier.answered,
+    failed: current.failed - earlier.failed,
+    crashes: current.crashes - earlier.crashes,
+    durations: difference(current.durations, earlier.durations),
+    cancellations: difference(current.cancellations, earlier.cancellations),
   };
 }
 
-function wasReset(now: RouteCounts, earlier: RouteCounts): boolean {
+function wasReset(current: RouteCounts, earlier: RouteCounts): boolean {
   return (
-    now.answered < earlier.answered || now.failed < earlier.failed || now.crashes < earlier.crashes
+    current.answered < earlier.answered ||
+    current.failed < earlier.failed ||
+    current.crashes < earlier.crashes
   );
 }
 
-function difference(now: readonly number[], earlier: readonly number[]): number[] {
-  return now.map((count, index) => Math.max(0, count - (earlier[index] ?? 0)));
+function difference(current: readonly number[], earlier: readonly number[]): number[] {
+  return current.map((count, index) => Math.max(0, count - (earlier[index] ?? 0)));
 }
 
 /** Requests in the classes from index `place` up. */
--- a/src/rollout/sequentialTest.ts
+++ b/src/rollout/sequentialTest.ts
@@ -3,9 +3,9 @@
  * ratio test, restarted whenever the evidence favours the version (Page 1954), so that a version
  * that turns bad late is found as quickly as one that was bad from the start.
  *
- * The usual share of bad outcomes is that of the other back ends, either overall or at the same
- * moment, whichever is worse: a fault that begins at all back ends at once is not caused by the
- * version.
+ * The usual share of bad outcomes is that of the other back ends, either over a longer time, with
+ * more weight on recent outcomes, or at the same moment, whichever is worse: a fault that begins at
+ * all back ends at once is not caused by the version.
  *
  * Bad outcomes at a single back end, while others of the version do well, point to a faulty machine
  * and not to the version. Each test therefore also runs without each of the back ends, and the
@@ -68,12 +68,15 @@
  */
 const BAD_WEIGHT = 9;
 
-/** Logarithm of the ratio that must also be reached without any one of the version's back ends. */
+/**
+ * Logarithm of the ratio that must also be reached if the back end that contributes most to it is
+ * left out.
+ */
 const BAD_WEIGHT_WITHOUT_ONE = 5;
 
 /**
- * Share by which the others' earlier outcomes are discounted whenever new ones arrive: the usual
- * share follows the present.
+ * Share by which the others' earlier outcomes are discounted whenever new ones arrive, so that the
+ * usual share depends mostly on recent outcomes.
  */
 const DISCOUNT = 0.08;
 
@@ -125,8 +128,8 @@
   let delayedTarget: Timed<TestStep['target']>[] = [];
   let weight = 0;
   /**
-   * Weights without each of the back ends that have had bad outcomes; without any other back end
-   * the weight is taken as `weight`.
+   * For each back end that has had bad outcomes, the weight without that back end. For a back end
+   * without bad outcomes, `weight` is used instead.
    */
   const excluding = new Map<string, number>();
   const seen = new Set<string>();
--- a/src/rollout/versionComparison.ts
+++ b/src/rollout/versionComparison.ts
@@ -54,11 +54,14 @@
    * machine would not explain them.
    */
   readonly comparedDoubt: string | undefined;
-  /** Node of the back end without which the failures are not unusual; its machine may be faulty. */
+  /**
+   * Node of the back end with the most failures, if those of the version's other back ends are not
+   * unusual; its machine may be faulty.
+   */
   readonly suspect: string | undefined;
   /**
-   * Probability that a version which fails a tenth more requests than the others on a route has so
-   * few failures.
+   * Probability that a version whose failure share on a route is 0.1 above that of the others has
+   * so few failures, on the route where that is most likely.
    */
   readonly chanceIfBad: number;
 }
--- a/src/rollout/versionRules.ts
+++ b/src/rollout/versionRules.ts
@@ -25,7 +25,7 @@
    */
   readonly generation: number;
   readonly phase: RolloutPhase;
-  /** Milliseconds since the order, by this node's information. */
+  /** Milliseconds since the order was made, by this node's information. */
   readonly ageMs: number;
   /** The leader's plan; undefined while none has arrived recently. */
   readonly plan: RolloutPlan | undefined;
@@ -43,7 +43,7 @@
   readonly view: (service: string) => RolloutView | undefined;
   /** True once the orders have been read from the store. */
   readonly isSynced: () => boolean;
-  /** Versions whose order was withdrawn before it ended. */
+  /** Versions whose orders were removed or replaced without being completed. */
   readonly withdrawn: (service: string) => ReadonlySet<string>;
 }
 
@@ -54,9 +54,15 @@
   readonly phase: RolloutPhase;
   /** The leader's plan; undefined without an order, or while none has arrived recently. */
   readonly plan?: RolloutPlan | undefined;
-  /** Nodes whose back ends the rule limits; a back end of unknown version may be one of them. */
+  /**
+   * Nodes whose back ends the rule applies to: the phase decides what they receive, from nothing in
+   * Halt to all requests in Done. Back ends of unknown version may be among them.
+   */
   readonly limited: ReadonlySet<string>;
-  /** All other owners of the service. An owner in neither set is newer and may have any version. */
+  /**
+   * All other owners of the service. An owner in neither set has appeared since the owners were
+   * last read, up to SURVEY_LIFETIME_MS ago, and may have any version.
+   */
   readonly others: ReadonlySet<string>;
 }
 
@@ -165,19 +171,20 @@
     if (order) {
       const key = `order ${generation}`;
       const { targetVersion, state } = order;
-      const isTarget = (version: string | undefined) =>
+      const wasOrdered = (version: string | undefined) =>
         version === targetVersion || (version !== undefined && withdrawnVersions.has(version));
       if (state === RolloutState.Completed || phase === RolloutPhase.Done) {
-        const isNew = (version: string | undefined) => version === undefined || isTarget(version);
-        return { key, isLimited: isNew, phase: RolloutPhase.Done };
+        const isUnknownOrOrdered = (version: string | undefined) =>
+          version === undefined || wasOrdered(version);
+        return { key, isLimited: isUnknownOrOrdered, phase: RolloutPhase.Done };
       }
       if (state === RolloutState.RolledBack || phase === RolloutPhase.Halt || isStale) {
-        return { key, isLimited: isTarget, phase: RolloutPhase.Halt };
+        return { key, isLimited: wasOrdered, phase: RolloutPhase.Halt };
       }
       const mayBeTarget = areMostVersionsKnown(survey);
       return {
         key,
-        isLimited: (version) => (version === undefined ? mayBeTarget : isTarget(version)),
+        isLimited: (version) => (version === undefined ? mayBeTarget : wasOrdered(version)),
         phase: phase ?? RolloutPhase.Watch,
         plan,
       };
@@ -210,9 +217,10 @@
 }
 
 /**
- * True if the versions of most owners are known. Until then owners of unknown version are not
- * limited: a node that has just started receives the versions within moments, and if only the few
- * owners known by then could serve, they would get every request.
+ * True if the versions of most owners are known. Until then, neither a running order nor the rule
+ * for withdrawn versions limits owners of unknown version: a node that has just started receives
+ * the versions within moments, and if only the few owners known by then could serve, they would get
+ * every request.
  */
 function areMostVersionsKnown({ versionOf }: Survey): boolean {
   const unknown = [...versionOf.values()].filter((version) => version === undefined).length;
--- a/src/rollout/versionSelector.ts
+++ b/src/rollout/versionSelector.ts
@@ -11,31 +11,35 @@
 import { createVersionRules, type VersionRule, type VersionRulesContext } from './versionRules.js';
 
 /**
- * Part of the bound that the nodes use; the rest is kept for the shift, when the version gets
- * everything.
+ * Part of the exposure bound that the nodes use before the shift; the rest is kept for the shift,
+ * when the version gets all new requests.
  */
 const USED_SHARE = 0.5;
 
 /**
  * Requests that are offered to the version first, as a multiple of the share that it may get. If
- * some of them find its back ends full, the others use up its share; the limit also prevents a
- * burst when the version appears.
+ * its back ends are full for some of these requests, the rest of these use up the share; the limit
+ * also prevents a burst when the version appears.
  */
 const PREFERRED_FACTOR = 2;
 
-/** Bad answers of the version at this node after which the node sends it no more requests. */
+/**
+ * Failures by back ends of the version, counted at this node, after which the node sends the
+ * version no more requests in the watch.
+ */
 const OWN_BAD_LIMIT = 50;
 
 /**
- * Part of the requests to the version that go to any of its back ends, not only to those that are
- * loaded as the others are.
+ * Share of the requests for which every back end of the version is a candidate, and not only the
+ * few that the other requests are concentrated on.
  */
 const SPREAD_SHARE = 0.25;
 
 /**
- * Smallest number of loaded back ends; with fewer a faulty machine would look like a bad version.
+ * Smallest number of back ends that the version's requests are concentrated on; with fewer, a
+ * faulty machine would look like a bad version.
  */
-const MIN_LOADED = 2;
+const MIN_CONCENTRATED = 2;
 
 /** The deployment's bounds on roll-outs. */
 export interface RolloutBounds extends ExposureBounds {
@@ -72,7 +76,7 @@
   readonly requests: number;
   /** Offers to the versions that are being rolled out. */
   readonly offers: number;
-  /** Bad answers of these versions. */
+  /** Failures by back ends of these versions. */
   readonly bad: number;
 }
 
@@ -136,13 +140,19 @@
   };
 
   /**
-   * Back ends of the version that get the version's requests, as few as are needed for each to be
-   * loaded as those of the others are.
+   * Back ends that the version's requests are concentrated on: so few that each carries about the
+   * same load as a back end of the others, but at least MIN_CONCENTRATED.
    */
-  const loadedOf = (service: string, limited: readonly string[], others: number): Set<string> => {
+  const concentratedOn = (
+    service: string,
+    limited: readonly string[],
+    others: number,
+  ): Set<string> => {
     const { exposureShare = 0 } = bounds() ?? {};
     const wanted = Math.ceil(exposureShare * USED_SHARE * others);
-    return new Set(rankNames(`loaded/${service}`, limited).slice(0, Math.max(MIN_LOADED, wanted)));
+    return new Set(
+      rankNames(`loaded/${service}`, limited).slice(0, Math.max(MIN_CONCENTRATED, wanted)),
+    );
   };
 
   const preferredOwners = (
@@ -157,7 +167,7 @@
     }
     const candidates = isSpread
       ? new Set(eligible)
-      : loadedOf(account.service, eligible, others.size);
+      : concentratedOn(account.service, eligible, others.size);
     // The owners in a plan enforce their limits themselves.
     const isAllowed = () => plan !== undefined || allows(account);
     return (node) => candidates.has(node) && account.bad < OWN_BAD_LIMIT && isAllowed();
@@ -245,8 +255,8 @@
 }
 
 /**
- * True in the shift until the others are fenced: they get the requests that the version's owners
- * reject.
+ * True in the shift until the others are fenced: they get the requests that are not offered to the
+ * version first, and those that its owners reject.
  */
 function areOthersOpen({ phase, plan }: Pick<VersionRule, 'phase' | 'plan'>): boolean {
   return phase === RolloutPhase.Shift && plan !== undefined && !plan.isFenced;
