--- a/src/quarantine/crashEntries.ts
+++ b/src/quarantine/crashEntries.ts
@@ -11,7 +11,7 @@
 /** Incarnations recorded for one request; more make no difference. */
 const MAX_INCARNATIONS = 8;
 
-/** Record of one request, by caller. */
+/** Record of all requests with one fingerprint; some members are by caller. */
 export interface CrashEntry {
   /** Names of the incarnations that crashed while the request was in flight. */
   readonly incarnations: Set<string>;
@@ -41,8 +41,8 @@
   const entries = new Map<string, CrashEntry>();
 
   /**
-   * Removes the oldest entry without a quarantine, so that requests made up to fill the memory
-   * displace one another and no quarantine.
+   * Removes the oldest entry without a quarantine, or the oldest if all have one. Requests made up
+   * to fill the memory thus displace one another before any quarantine.
    */
   const makeRoom = (): void => {
     if (entries.size <= MAX_ENTRIES) {
--- a/src/quarantine/crashTracker.ts
+++ b/src/quarantine/crashTracker.ts
@@ -4,11 +4,12 @@
  *
  * A request that was in flight when its back end crashed may be the cause, as may any other request
  * in flight there. After a second such crash it is a suspect and runs alone on its back end, at one
- * owner of the mesh. If a back end crashes while only this request is in flight, and a crash of the
- * request was known before it began, it is quarantined. The earlier crash is required because back
- * ends may end together for another reason, such as the loss of a whole domain, which says nothing
- * about the requests that ran on all of them. If a request completes, it is cleared. A request is
- * therefore never refused only because it was in flight beside the one that caused a crash.
+ * owner of the mesh. If a back end crashes while only this request is in flight, and an earlier
+ * crash of the request was known before this run began, the request is quarantined. The earlier
+ * crash is required because back ends may end together for another reason, such as the loss of a
+ * whole domain, which says nothing about the requests that ran on all of them. If a request
+ * completes, it is cleared. A request is therefore never refused only because it was in flight
+ * beside the one that caused a crash.
  */
 
 import { createCompletedRuns } from './completedRuns.js';
@@ -43,8 +44,9 @@
 }
 
 /**
- * Crashes after which a request runs alone. With 1, each crash would make up to as many requests as
- * a back end has slots run alone, one after the other, and the users' rules allow three crashes.
+ * Crashes after which a request runs alone. With 1, every request in flight at a crash, up to the
+ * number of slots, would have to run alone, one after the other. The users' requirements allow
+ * three crashes.
  */
 export const SUSPECT_CRASHES = 2;
 
@@ -82,7 +84,10 @@
   applySuspicion(key: RequestKey, crashes: number, now: number): void;
   /** Applies a quarantine that the store holds; returns true if it is new here. */
   applyQuarantine(key: RequestKey, now: number): boolean;
-  /** Lifts a quarantine that the store no longer holds: the request runs alone once. */
+  /**
+   * Ends a quarantine that the store no longer holds. The request is then a suspect, which runs
+   * alone, until it completes or the suspicion ends.
+   */
   lift(key: RequestKey): void;
   /**
    * Number of known crashes of a request. With SUSPECT_CRASHES or more the request is a suspect
