--- a/src/owner/back-end-call.ts
+++ b/src/owner/back-end-call.ts
@@ -1,7 +1,8 @@
 /**
  * Sends one task to the back end and verifies the answer: it must echo the
- * request's id, be complete, and carry the back end's signature. Without such
- * an answer, the outcome says whether the task certainly has not run.
+ * request's id, be complete, have no content encoding and, if its status is
+ * 2xx, carry the back end's signature. Without such an answer, the outcome says
+ * whether the task certainly has not run.
  */
 
 import http from 'node:http';
@@ -212,9 +213,9 @@
   }
 
   /**
-   * A back end may answer before it has read the whole body and read the rest
-   * later. The next request must not be read as that rest, so the connection is
-   * closed.
+   * A back end may answer before it has read the whole body, and may read the
+   * rest afterwards. It must not take the next request for that rest, so the
+   * connection is closed.
    */
   private closeIfUnfinished(request: http.ClientRequest): void {
     if (!request.writableFinished) {
--- a/src/owner/back-end-presence.ts
+++ b/src/owner/back-end-presence.ts
@@ -127,7 +127,10 @@
     this.registry.deregister(incarnation);
   }
 
-  /** Nothing listened at this incarnation's address. Ignored if a later one is already present. */
+  /**
+   * Records that this incarnation's address refused a connection or did not accept one in time.
+   * Ignored if a later incarnation is already present.
+   */
   noteUnreachable(incarnation: BackEndIncarnation): void {
     if (this.isCurrent(incarnation)) {
       this.setReachable(false);
--- a/src/owner/callRouteDetector.ts
+++ b/src/owner/callRouteDetector.ts
@@ -6,8 +6,11 @@
  * substantial share of theirs.
  */
 
-/** The counts of a route are halved when their sum exceeds twice this number of requests. */
-const MIN_COUNTED_REQUESTS = 400;
+/**
+ * Sum of a route's counts after they have been halved, which happens when it exceeds twice this
+ * number.
+ */
+const HALVED_COUNT = 400;
 
 /**
  * Minimum number of requests that a service would have sent by now if the route were one of
@@ -48,7 +51,7 @@
     this.total += 1;
     this.sinceEvaluation += 1;
     this.counts.set(service, this.countOf(service) + 1);
-    if (this.total > 2 * MIN_COUNTED_REQUESTS) {
+    if (this.total > 2 * HALVED_COUNT) {
       this.halve();
     }
   }
--- a/src/owner/callScheduler.ts
+++ b/src/owner/callScheduler.ts
@@ -14,12 +14,13 @@
 export const CALL_SLOT_SHARE = 0.75;
 
 /**
- * If long tasks of a lower priority hold the other slots, calls may take every slot that becomes
- * free, and a waiting client would be rejected in the end. So a client that has waited this share
- * of the time that it can wait goes next after this number of consecutive calls: three to one, as
- * with the slots.
+ * Share of the time that a client can wait, after which it goes next once MAX_CONSECUTIVE_CALLS
+ * calls have started in a row. If long tasks of a lower priority hold the other slots, calls may
+ * otherwise take every slot that becomes free, and a waiting client would be rejected in the end.
  */
 const MAX_YIELD_SHARE = 0.5;
+
+/** Calls in a row after which such a client goes next: three to one, as with the slots. */
 const MAX_CONSECUTIVE_CALLS = 3;
 
 /** Ranks within one priority: calls, then clients. */
--- a/src/owner/crashDetector.ts
+++ b/src/owner/crashDetector.ts
@@ -30,7 +30,10 @@
 /** The parts of the owner that the detector uses. */
 export interface CrashDetectorContext {
   readonly clock: Clock;
-  /** An incarnation has crashed while exactly these requests were in flight. */
+  /**
+   * An incarnation has crashed. The requests are those in flight then, and those that ended without
+   * an answer less than ENDED_RUN_MS before.
+   */
   readonly onCrash: (incarnation: BackEndIncarnation, inFlight: readonly InFlightRequest[]) => void;
   /** Resolves with true if something listens at an address. Replaced in tests. */
   readonly isListening?: (address: string) => Promise<boolean>;
@@ -56,8 +59,8 @@
   /** Records a run whose request is about to be sent. */
   begin(run: MonitoredRun): void;
   /**
-   * Records how a run ended. Resolves within one connect timeout, with true if nothing listens at
-   * the back end's address any more.
+   * Records how a run ended. Resolves within one connect timeout: with true if the run was lost and
+   * nothing listens at the back end's address any more, otherwise with false.
    */
   end(run: MonitoredRun, outcome: OwnerOutcome): Promise<boolean>;
   /** Records the present incarnation. If a previous one lost runs recently, it has crashed. */
--- a/src/owner/hangDetector.ts
+++ b/src/owner/hangDetector.ts
@@ -24,8 +24,8 @@
 const WEIGHT = 0.1;
 
 /**
- * An overdue run counts as hung from this share of overdue runs: twice the share that long work
- * causes.
+ * An overdue run counts as hung if at least this share of the runs becomes overdue: twice the share
+ * that runs cause which only take long.
  */
 const MIN_HANG_SHARE = 0.15;
 
--- a/src/owner/local-owner.ts
+++ b/src/owner/local-owner.ts
@@ -29,10 +29,10 @@
 import { waitForSlot } from './slotWait.js';
 import { type TaskTimes, taskRecordOf } from './taskRecord.js';
 
-/** Milliseconds in which unrepeatable tasks reuse no connection after another request's answer. */
+/** Milliseconds after an answer to another request during which unrepeatable tasks connect anew. */
 const NO_REUSE_MS = 10_000;
 
-/** A task cancelled this close to its deadline, in milliseconds, counts as awaited until then. */
+/** A task cancelled at most this long before its deadline, in ms, counts as awaited to the end. */
 const DEADLINE_SLACK_MS = 50;
 
 /** Retry delay in milliseconds if a roll-out grants no permit; other owners can serve at once. */
@@ -62,7 +62,7 @@
     });
   }
 
-  /** Keeps the service times: they depend on the service's requests and on this machine. */
+  /** Service times are kept: they depend on the service's requests and on this machine. */
   private onNewIncarnation(incarnation: BackEndIncarnation): void {
     this.observations.reset();
     this.connections.reset();
--- a/src/owner/owner.ts
+++ b/src/owner/owner.ts
@@ -37,8 +37,9 @@
   readonly targetAt: number;
   readonly hasBody: boolean;
   /**
-   * False if the task must be rejected unless a slot is free. It comes from a zone
-   * whose own owners are up, so waiting here has no advantage over waiting there.
+   * False if the task must be rejected unless a slot is free. Such a task comes from
+   * another zone, whose own owners are up: waiting in this zone has no advantage over
+   * waiting in that one.
    */
   readonly mayWait: boolean;
   readonly cancellation: Cancellation;
@@ -75,7 +76,7 @@
    * way.
    */
   | 'suspect'
-  /** The request has crashed a back end while running alone. */
+  /** A back end crashed while only this request ran, after an earlier crash of it was known. */
   | 'quarantined';
 
 /** Why it is not known whether a task was run. */
