--- a/src/tenants/access.ts
+++ b/src/tenants/access.ts
@@ -25,8 +25,8 @@
   /** True if there may be a newer configuration than that of the keyring. */
   readonly mayBeStale: boolean;
   /**
-   * True if the configuration may be so old that keys revoked since then must no longer be
-   * accepted.
+   * True if the configuration may be so old that one of its keys may have been revoked for longer
+   * than revoked keys may be accepted.
    */
   readonly isTooStale: boolean;
 }
--- a/src/tenants/quotaGate.ts
+++ b/src/tenants/quotaGate.ts
@@ -19,7 +19,10 @@
   readonly isHolder: boolean;
   /** Milliseconds since a holder was last asked. Undefined if none ever was. */
   readonly askedAgoMs: number | undefined;
-  /** Number of holders that are not asked now because they were empty when last asked. */
+  /**
+   * Number of holders that are asked now only if there are no others, because they granted fewer
+   * requests than wanted when last asked.
+   */
   readonly dry: number;
   /** Number of holders that are not asked now because they did not answer when last asked. */
   readonly silent: number;
--- a/src/tenants/quotaParts.ts
+++ b/src/tenants/quotaParts.ts
@@ -70,10 +70,10 @@
  * Converts a limit into one token bucket that stays within the bound in every window. A tenant may
  * use its rate and its burst in each window, so the bucket fills at the rate plus the burst spread
  * over the window: no request of a tenant that constantly uses its whole limit is refused. The
- * depth is the rest of the bound, from overage and slack, less the tokens granted just before a
- * window whose requests run in it. If that depth is too small for requests that arrive at the same
- * time, the bucket fills more slowly instead, so that no request of a tenant below its rate is
- * refused either.
+ * depth is what remains of the bound: the overage and the slack, less the tokens that may be
+ * granted up to GRANT_LIFETIME_MS before a window for requests that are admitted in the window. If
+ * that depth is too small for requests that arrive at the same time, the bucket fills more slowly
+ * instead, so that no request of a tenant below its rate is refused either.
  */
 export function quotaLimitsOf(tenant: MeshTenant, bounds: QuotaBounds): BucketLimits {
   const bound = windowBound(tenant, bounds);
--- a/src/tenants/tenantUsage.ts
+++ b/src/tenants/tenantUsage.ts
@@ -14,9 +14,12 @@
 
 const usageSchema = z.object({
   name: z.string(),
-  /** Ended requests of the window that the tenant's limit did not refuse, whatever their result. */
+  /**
+   * Upper bound of the number of ended requests in the window that the tenant's limit did not
+   * refuse, whatever their result.
+   */
   admitted: z.number().int().min(0),
-  /** Requests of the window that the tenant's limit refused. */
+  /** Upper bound of the number of requests in the window that the tenant's limit refused. */
   refused: z.number().int().min(0),
 });
 
